--- a/internal/limit/admit.go
+++ b/internal/limit/admit.go
@@ -16,7 +16,7 @@
 // admit decides whether e may wait; nil means yes.
 func (q *Queue) admit(now time.Time, e *Entry) *call.Refusal {
 	c := e.class
-	if e.Once {
+	if e.OneShot {
 		return q.admitOnce(now, e)
 	}
 	if e.overdue {
@@ -56,7 +56,7 @@
 // takePlace refuses a call that waits in e's lane and gives way to e, if there is one.
 func (q *Queue) takePlace(now time.Time, e *Entry, lane *list.List) bool {
 	victim := e.class.least(lane)
-	if victim == nil || q.options.NoGiveWay || !yields(victim, e) {
+	if victim == nil || q.options.NoYielding || !yields(victim, e) {
 		return false
 	}
 	q.refuseWaiting(now, victim, q.overReason(victim.class), "gave way to another workspace")
@@ -99,7 +99,7 @@
 		return true // newest first: it is next
 	}
 	budget := c.waitBudget()
-	return budget <= 0 || now.Sub(e.Asked)+wait <= budget
+	return budget <= 0 || now.Sub(e.FirstAttempt)+wait <= budget
 }
 
 // minGrants is how many intervals between starts a prediction needs.
@@ -123,7 +123,7 @@
 // furthest inside its target, then of the lowest priority. The newcomer takes part.
 func (q *Queue) givesWay(newcomer *Entry) *Entry {
 	victim := newcomer
-	if q.options.NoGiveWay {
+	if q.options.NoYielding {
 		return victim
 	}
 	for _, c := range q.ordered {
--- a/internal/limit/class.go
+++ b/internal/limit/class.go
@@ -33,7 +33,7 @@
 	high     quantile
 	window   windowCounts
 	missRate float64 // part of the calls late or refused in the last window
-	rate     *Rate
+	rate     *RateLimiter
 	stats    ClassStats
 }
 
@@ -129,7 +129,7 @@
 
 func (c *classState) laneOf(e *Entry) *list.List {
 	switch {
-	case e.Once:
+	case e.OneShot:
 		return &c.once
 	case e.overdue:
 		return &c.overdue
@@ -148,7 +148,7 @@
 
 func (c *classState) grantsOf(e *Entry) *grants {
 	switch {
-	case e.Once:
+	case e.OneShot:
 		return &c.onceGrants
 	case e.overdue:
 		return &c.overdueGrants
@@ -183,7 +183,7 @@
 // nothing to lose.
 func (c *classState) late(e *Entry, now time.Time) bool {
 	left := c.AnswerWithin - c.service.duration()
-	return left > 0 && now.Sub(e.Asked) > left
+	return left > 0 && now.Sub(e.FirstAttempt) > left
 }
 
 // leastBudget is the part of the answer time, less the mean run, that a call may wait
--- a/internal/limit/config.go
+++ b/internal/limit/config.go
@@ -33,7 +33,7 @@
 	// AnswerWithin is the answer time aimed at; zero means none.
 	AnswerWithin time.Duration
 	// RatePerSecond bounds the calls of the class at this backend server;
-	// zero means no bound. RateOf gives it from a bound on the whole mesh.
+	// zero means no bound. RatePerBackend gives it from a bound on the whole mesh.
 	RatePerSecond float64
 }
 
@@ -82,16 +82,16 @@
 	Class   string
 	Running int
 	Waiting int
-	// UpTo is how many slots may be busy for the class to start a call.
-	UpTo     int
-	Started  uint64
-	Done     uint64
-	Refused  uint64
-	Busy     uint64 // calls that were not to wait, and found no free slot
-	OverRate uint64
-	Expired  uint64
-	OnTarget uint64 // answers within AnswerWithin, the wait included
-	// Standing is the recent high latency over AnswerWithin; above one the
+	// AllowedSlots is how many slots may be busy for the class to start a call.
+	AllowedSlots int
+	Started      uint64
+	Done         uint64
+	Refused      uint64
+	Busy         uint64 // calls that were not to wait, and found no free slot
+	OverRate     uint64
+	Expired      uint64
+	OnTarget     uint64 // answers within AnswerWithin, the wait included
+	// LatencyRatio is the recent high latency over AnswerWithin; above one the
 	// class misses its target.
-	Standing float64
+	LatencyRatio float64
 }
--- a/internal/limit/control.go
+++ b/internal/limit/control.go
@@ -52,7 +52,7 @@
 	for _, c := range q.ordered {
 		c.turn()
 	}
-	if !q.options.NoGiveWay {
+	if !q.options.NoYielding {
 		q.turnReservations()
 	}
 }
--- a/internal/limit/fair_test.go
+++ b/internal/limit/fair_test.go
@@ -87,7 +87,7 @@
 	var entries []*Entry
 	for _, p := range []int{0, 3, 9, 3} {
 		e := keyed(fmt.Sprint("w", p), p)
-		e.Once = true
+		e.OneShot = true
 		if r := q.Offer(at(0), e, "x", time.Time{}); r != nil {
 			t.Fatal(r)
 		}
--- a/internal/limit/fairway_test.go
+++ b/internal/limit/fairway_test.go
@@ -55,7 +55,7 @@
 }
 
 func (o *fairway) pick(now time.Time, cs []*classState) *classState {
-	oldest := FirstCome{}.pick(now, cs)
+	oldest := FirstComeFirstServed{}.pick(now, cs)
 	fast := o.fast.pick(now, cs)
 	if o.oldest != oldest.head().sequence {
 		// The paper resets the ledgers at every scheduling step. Calls
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -84,13 +84,13 @@
 	e Entry
 }
 
-// Times are those of a call that a Gate goes by.
-type Times struct {
-	// Asked is when the caller first asked, if it was refused before and came back;
+// AcquireOptions are those of a call that a Gate goes by.
+type AcquireOptions struct {
+	// FirstAttempt is when the caller first asked, if it was refused before and came back;
 	// zero means now.
-	Asked time.Time
-	// Once says that the caller will not come back when it is refused.
-	Once bool
+	FirstAttempt time.Time
+	// OneShot says that the caller will not come back when it is refused.
+	OneShot bool
 	// Deadline is when the caller leaves; zero means that only the context bounds
 	// the wait.
 	Deadline time.Time
@@ -101,10 +101,10 @@
 
 // Acquire waits for a permit. The error is a *call.Refusal, or ctx.Err() when
 // the caller gave up; either way the call was not run.
-func (g *Gate) Acquire(ctx context.Context, class string, t Times) (*Permit, error) {
+func (g *Gate) Acquire(ctx context.Context, class string, t AcquireOptions) (*Permit, error) {
 	p := &Permit{g: g}
 	e := &p.e
-	e.Asked, e.Once, e.NoWait, e.Caller = t.Asked, t.Once, t.NoWait, t.Caller
+	e.FirstAttempt, e.OneShot, e.NoWait, e.Caller = t.FirstAttempt, t.OneShot, t.NoWait, t.Caller
 	g.mu.Lock()
 	r := g.q.Offer(g.now(), e, class, t.Deadline)
 	if r != nil {
--- a/internal/limit/gate_test.go
+++ b/internal/limit/gate_test.go
@@ -19,7 +19,7 @@
 
 func mustAcquire(t *testing.T, g *Gate) *Permit {
 	t.Helper()
-	p, err := g.Acquire(context.Background(), "x", Times{})
+	p, err := g.Acquire(context.Background(), "x", AcquireOptions{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(time.Second, cancel)
 		start := time.Now()
-		if _, err := g.Acquire(ctx, "x", Times{}); !errors.Is(err, context.Canceled) {
+		if _, err := g.Acquire(ctx, "x", AcquireOptions{}); !errors.Is(err, context.Canceled) {
 			t.Errorf("got %v", err)
 		}
 		if time.Since(start) != time.Second {
@@ -71,7 +71,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGate(1)
 		mustAcquire(t, g)
-		_, err := g.Acquire(context.Background(), "x", Times{Deadline: time.Now().Add(time.Second)})
+		_, err := g.Acquire(context.Background(), "x", AcquireOptions{Deadline: time.Now().Add(time.Second)})
 		var r *call.Refusal
 		if !errors.As(err, &r) || r.Reason != call.ReasonExpired {
 			t.Errorf("got %v", err)
@@ -90,7 +90,7 @@
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				if next, err := g.Acquire(ctx, "x", Times{}); err == nil {
+				if next, err := g.Acquire(ctx, "x", AcquireOptions{}); err == nil {
 					next.Release(Result{})
 				}
 			}()
@@ -114,7 +114,7 @@
 	g := newTestGate(4)
 	ctx := context.Background()
 	got := testing.AllocsPerRun(1000, func() {
-		p, err := g.Acquire(ctx, "x", Times{})
+		p, err := g.Acquire(ctx, "x", AcquireOptions{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -130,7 +130,7 @@
 	g := newTestGate(4)
 	ctx := context.Background()
 	got := testing.AllocsPerRun(1000, func() {
-		p, err := g.Acquire(ctx, "x", Times{Caller: Caller{Workspace: "w", Priority: 7}})
+		p, err := g.Acquire(ctx, "x", AcquireOptions{Caller: Caller{Workspace: "w", Priority: 7}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -148,7 +148,7 @@
 			ctx := context.Background()
 			b.ReportAllocs()
 			for b.Loop() {
-				p, err := g.Acquire(ctx, "x", Times{Caller: caller})
+				p, err := g.Acquire(ctx, "x", AcquireOptions{Caller: caller})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/limit/measure_test.go
+++ b/internal/limit/measure_test.go
@@ -34,7 +34,7 @@
 
 func plain(o Order) func() QueueOptions {
 	return func() QueueOptions {
-		return QueueOptions{Order: o, FixedLimit: true, NoGiveWay: true, NoPrediction: true}
+		return QueueOptions{Order: o, FixedLimit: true, NoYielding: true, NoPrediction: true}
 	}
 }
 
@@ -43,7 +43,9 @@
 }
 
 // baseline is a fixed limit and one queue, first come, first served.
-func baseline() policy { return policy{name: "fixed limit, FCFS", options: plain(FirstCome{})} }
+func baseline() policy {
+	return policy{name: "fixed limit, FCFS", options: plain(FirstComeFirstServed{})}
+}
 
 func ours(share float64) policy {
 	name := "ours"
@@ -114,7 +116,7 @@
 		name string
 		make func() Order
 	}{
-		{"first come", func() Order { return FirstCome{} }},
+		{"first come", func() Order { return FirstComeFirstServed{} }},
 		{"earliest target", func() Order { return EarliestTarget{} }},
 		{"shortest first", func() Order { return shortestFirst{} }},
 		{"relative wait", func() Order { return fast }},
--- a/internal/limit/order.go
+++ b/internal/limit/order.go
@@ -31,7 +31,7 @@
 }
 
 func (o *OvertakingCap) pick(now time.Time, cs []*classState) *classState {
-	oldest := FirstCome{}.pick(now, cs)
+	oldest := FirstComeFirstServed{}.pick(now, cs)
 	if o.oldest != oldest.foremost().sequence {
 		o.oldest, o.ahead = oldest.foremost().sequence, 0
 	}
@@ -46,10 +46,10 @@
 	return c
 }
 
-// FirstCome starts the call that arrived first.
-type FirstCome struct{}
+// FirstComeFirstServed starts the call that arrived first.
+type FirstComeFirstServed struct{}
 
-func (FirstCome) pick(_ time.Time, cs []*classState) *classState {
+func (FirstComeFirstServed) pick(_ time.Time, cs []*classState) *classState {
 	best := cs[0]
 	for _, c := range cs[1:] {
 		if c.foremost().before(best.foremost()) {
--- a/internal/limit/overdue.go
+++ b/internal/limit/overdue.go
@@ -32,11 +32,11 @@
 	c := e.class
 	common := float64(c.AnswerWithin - c.service.duration())
 	budget := max(c.waitBudget(), time.Duration(inTimePart*common))
-	if e.Once || e.deadline.IsZero() || budget <= 0 || q.options.NoPrediction {
+	if e.OneShot || e.deadline.IsZero() || budget <= 0 || q.options.NoPrediction {
 		return e.deadline
 	}
 	until := now.Add(e.patience(now))
-	if inTime := e.Asked.Add(budget); inTime.After(until) {
+	if inTime := e.FirstAttempt.Add(budget); inTime.After(until) {
 		until = inTime
 	}
 	if until.After(e.deadline) {
--- a/internal/limit/overdue_test.go
+++ b/internal/limit/overdue_test.go
@@ -60,7 +60,7 @@
 		q.Done(at(time.Duration(i)*200*time.Millisecond+100*time.Millisecond), e, Result{Latency: 100 * time.Millisecond})
 	}
 	running := offer(t, q, at(5*time.Second), "x")
-	late := &Entry{Asked: at(3 * time.Second)}
+	late := &Entry{FirstAttempt: at(3 * time.Second)}
 	if r := q.Offer(at(5*time.Second), late, "x", at(7*time.Second)); r != nil || late.Started() {
 		t.Fatalf("refused %v, started %v", r, late.Started())
 	}
@@ -73,11 +73,11 @@
 	if !late.Started() {
 		t.Fatal("a slot was left over, and nobody got it")
 	}
-	first := &Entry{Asked: at(4 * time.Second)}
+	first := &Entry{FirstAttempt: at(4 * time.Second)}
 	if r := q.Offer(at(9*time.Second), first, "x", at(11*time.Second)); r != nil {
 		t.Fatalf("the first may always wait, got %v", r)
 	}
-	wantReason(t, q.Offer(at(9*time.Second), &Entry{Asked: at(4 * time.Second)}, "x", at(11*time.Second)), call.ReasonOverloaded)
+	wantReason(t, q.Offer(at(9*time.Second), &Entry{FirstAttempt: at(4 * time.Second)}, "x", at(11*time.Second)), call.ReasonOverloaded)
 	wantReason(t, q.Expire(at(9500*time.Millisecond), first), call.ReasonOverloaded)
 }
 
--- a/internal/limit/queue.go
+++ b/internal/limit/queue.go
@@ -25,11 +25,11 @@
 
 // Entry is one call in a Queue. Its zero value is ready for Offer.
 type Entry struct {
-	// Asked is when the caller first asked, if it was refused before and came back;
+	// FirstAttempt is when the caller first asked, if it was refused before and came back;
 	// zero means that it asks now.
-	Asked time.Time
-	// Once says that the caller will not come back when it is refused.
-	Once bool
+	FirstAttempt time.Time
+	// OneShot says that the caller will not come back when it is refused.
+	OneShot bool
 	// NoWait says that the call is to start now or be refused as busy.
 	NoWait bool
 	Caller Caller
@@ -65,9 +65,9 @@
 	Rand  *rand.Rand // spreads RetryAfter; must not be nil
 	// FixedLimit keeps the limit at the announced slots.
 	FixedLimit bool
-	// NoGiveWay reserves no slots and refuses the newcomer when the queue is
+	// NoYielding reserves no slots and refuses the newcomer when the queue is
 	// full.
-	NoGiveWay bool
+	NoYielding bool
 	// NoPrediction bounds the queue by number and deadline only, and runs
 	// calls that are late for their class's target in their turn.
 	NoPrediction bool
@@ -142,11 +142,11 @@
 func (q *Queue) setClass(now time.Time, c Class) {
 	st := q.classes[c.Name]
 	if st == nil {
-		st = &classState{upTo: q.cfg.Slots, inOrder: q.options.NoPrediction, rate: NewRate(now, c.RatePerSecond)}
+		st = &classState{upTo: q.cfg.Slots, inOrder: q.options.NoPrediction, rate: NewRateLimiter(now, c.RatePerSecond)}
 		q.classes[c.Name] = st
 	}
 	if st.RatePerSecond != c.RatePerSecond {
-		st.rate.SetShare(now, c.RatePerSecond)
+		st.rate.SetRate(now, c.RatePerSecond)
 	}
 	st.Class = c
 	st.upTo = min(max(st.upTo, 1), q.cfg.Slots)
@@ -206,10 +206,10 @@
 	q.turnWindow(now)
 	q.sequence++
 	e.class, e.arrived, e.deadline, e.sequence = c, now, deadline, q.sequence
-	if e.Asked.IsZero() {
-		e.Asked = now
+	if e.FirstAttempt.IsZero() {
+		e.FirstAttempt = now
 	}
-	e.overdue = !e.Once && !q.options.NoPrediction && c.late(e, now)
+	e.overdue = !e.OneShot && !q.options.NoPrediction && c.late(e, now)
 	e.until = q.waitsUntil(now, e)
 	if q.draining {
 		return q.refuse(now, c, call.ReasonDraining, "")
@@ -332,8 +332,8 @@
 		out[i].Class = c.Name
 		out[i].Running = c.running
 		out[i].Waiting = c.queued()
-		out[i].UpTo = min(c.upTo, q.Limit())
-		out[i].Standing = c.standing()
+		out[i].AllowedSlots = min(c.upTo, q.Limit())
+		out[i].LatencyRatio = c.standing()
 	}
 	return out
 }
--- a/internal/limit/queue_test.go
+++ b/internal/limit/queue_test.go
@@ -91,7 +91,7 @@
 }
 
 func TestRateOfClassIsBounded(t *testing.T) {
-	q := newTestQueue(Config{Slots: 100, Classes: []Class{{Name: "x", RatePerSecond: RateOf(100, 10)}}})
+	q := newTestQueue(Config{Slots: 100, Classes: []Class{{Name: "x", RatePerSecond: RatePerBackend(100, 10)}}})
 	admitted := 0
 	for i := range 1000 {
 		e := &Entry{}
--- a/internal/limit/rate.go
+++ b/internal/limit/rate.go
@@ -7,19 +7,19 @@
 	"golang.org/x/time/rate"
 )
 
-// Rate bounds how many calls of one class are admitted in a second. It is safe
+// RateLimiter bounds how many calls of one class are admitted in a second. It is safe
 // for concurrent use.
-type Rate struct {
+type RateLimiter struct {
 	mu sync.Mutex
 	l  *rate.Limiter
 }
 
-// RateOf returns one backend server's part of a bound on the whole mesh. The
+// RatePerBackend returns one backend server's part of a bound on the whole mesh. The
 // bound is enforced at the destinations, where the number of backend servers of
 // the service is known from the membership, so that no loads have to be sent
 // between nodes; a call refused at one is tried at another, and finds the part
 // that is left there.
-func RateOf(perSecond float64, backends int) float64 {
+func RatePerBackend(perSecond float64, backends int) float64 {
 	if perSecond <= 0 {
 		return 0
 	}
@@ -29,15 +29,15 @@
 // burstSeconds is how much of a second's rate may be admitted at once.
 const burstSeconds = 0.1
 
-// NewRate returns a bound of perSecond calls; zero or less means no bound.
-func NewRate(now time.Time, perSecond float64) *Rate {
-	r := &Rate{l: rate.NewLimiter(0, 1)}
-	r.SetShare(now, perSecond)
+// NewRateLimiter returns a bound of perSecond calls; zero or less means no bound.
+func NewRateLimiter(now time.Time, perSecond float64) *RateLimiter {
+	r := &RateLimiter{l: rate.NewLimiter(0, 1)}
+	r.SetRate(now, perSecond)
 	return r
 }
 
-// SetShare changes the bound to perSecond calls; zero or less means no bound.
-func (r *Rate) SetShare(now time.Time, perSecond float64) {
+// SetRate changes the bound to perSecond calls; zero or less means no bound.
+func (r *RateLimiter) SetRate(now time.Time, perSecond float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if perSecond <= 0 {
@@ -53,7 +53,7 @@
 // It guards the rate of a class under overload: were each call that a full queue
 // refuses to count, a class would be refused as over its rate while far fewer of
 // its calls run.
-func (r *Rate) GiveBack(now time.Time) {
+func (r *RateLimiter) GiveBack(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// A Reservation can't be cancelled once its moment has passed, which for an
@@ -62,7 +62,7 @@
 }
 
 // Allow reports whether a call may go now and, if not, when to come back.
-func (r *Rate) Allow(now time.Time) (ok bool, retryAfter time.Duration) {
+func (r *RateLimiter) Allow(now time.Time) (ok bool, retryAfter time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	res := r.l.ReserveN(now, 1)
--- a/internal/limit/rate_test.go
+++ b/internal/limit/rate_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestRateBoundsAndTellsWhenToComeBack(t *testing.T) {
-	r := NewRate(simStart, 10)
+	r := NewRateLimiter(simStart, 10)
 	if ok, _ := r.Allow(simStart); !ok {
 		t.Fatal("the first call was refused")
 	}
@@ -18,7 +18,7 @@
 	if ok, _ := r.Allow(at(100 * time.Millisecond)); !ok {
 		t.Error("refused when it was told to come back")
 	}
-	r.SetShare(at(0), 0)
+	r.SetRate(at(0), 0)
 	for range 1000 {
 		if ok, _ := r.Allow(at(0)); !ok {
 			t.Fatal("refused without a bound")
@@ -29,7 +29,7 @@
 // A class that was refused often by full queues gave back more than it had taken,
 // and then ran far over its rate at once. What is given back stays in the burst.
 func TestGivenBackStaysWithinTheBurst(t *testing.T) {
-	r := NewRate(simStart, 10)
+	r := NewRateLimiter(simStart, 10)
 	for range 50 {
 		r.GiveBack(simStart)
 	}
@@ -57,9 +57,9 @@
 // admitted and offered in a second.
 func rateTrial(demand float64, tries int) (admitted, offered float64) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	var backends []*Rate
+	var backends []*RateLimiter
 	for range rateBackends {
-		backends = append(backends, NewRate(simStart, RateOf(rateTarget, rateBackends)))
+		backends = append(backends, NewRateLimiter(simStart, RatePerBackend(rateTarget, rateBackends)))
 	}
 	const seconds = 10
 	now := simStart
--- a/internal/limit/sim_test.go
+++ b/internal/limit/sim_test.go
@@ -188,12 +188,12 @@
 func (r *simRun) offer(now time.Time, sc *simCall) {
 	sc.attempts++
 	sc.sent = now
-	e := &Entry{Once: r.once[sc.class.Name]}
+	e := &Entry{OneShot: r.once[sc.class.Name]}
 	if !r.unknownSenders {
 		e.Caller = sc.caller
 	}
 	if !r.forget {
-		e.Asked = sc.asked
+		e.FirstAttempt = sc.asked
 	}
 	r.owners[e] = sc
 	refused := r.queue.Offer(now, e, sc.class.Name, sc.deadline)
--- a/internal/node/gates.go
+++ b/internal/node/gates.go
@@ -69,7 +69,7 @@
 func partOf(classes []limit.Class, backends int) []limit.Class {
 	out := make([]limit.Class, len(classes))
 	for i, c := range classes {
-		c.RatePerSecond = limit.RateOf(c.RatePerSecond, backends)
+		c.RatePerSecond = limit.RatePerBackend(c.RatePerSecond, backends)
 		out[i] = c
 	}
 	return out
@@ -86,7 +86,7 @@
 }
 
 // Acquire implements proxy.Gates.
-func (g *gates) Acquire(ctx context.Context, b proxy.Backend, t *config.Target, times limit.Times) (proxy.Permit, error) {
+func (g *gates) Acquire(ctx context.Context, b proxy.Backend, t *config.Target, times limit.AcquireOptions) (proxy.Permit, error) {
 	gate := (*g.byInstance.Load())[b.Instance]
 	if gate == nil {
 		// The backend server went between the look-up and here.
--- a/internal/node/metrics_calls.go
+++ b/internal/node/metrics_calls.go
@@ -71,8 +71,8 @@
 			l := []string{"instance", instance, "class", s.Class}
 			p.gauge("marlpass_gate_running", float64(s.Running), l...)
 			p.gauge("marlpass_gate_waiting", float64(s.Waiting), l...)
-			p.gauge("marlpass_gate_slots_allowed", float64(s.UpTo), l...)
-			p.gauge("marlpass_gate_standing_ratio", s.Standing, l...)
+			p.gauge("marlpass_gate_slots_allowed", float64(s.AllowedSlots), l...)
+			p.gauge("marlpass_gate_standing_ratio", s.LatencyRatio, l...)
 			p.counter("marlpass_gate_started_total", s.Started, l...)
 			p.counter("marlpass_gate_done_total", s.Done, l...)
 			p.counter("marlpass_gate_refused_total", s.Refused, l...)
--- a/internal/node/retries.go
+++ b/internal/node/retries.go
@@ -60,7 +60,7 @@
 		return retry.Options{Budget: retry.BudgetOptions{Ratio: r.set.Ratio}}
 	}
 	return retry.Options{
-		MaxAttempts: boundedTries, CountReached: true,
+		MaxAttempts: boundedTries, ChargeReachedOnly: true,
 		Budget: retry.BudgetOptions{Ratio: r.set.Ratio * ratioPart, Burst: boundedBurst},
 	}
 }
@@ -78,17 +78,17 @@
 // each calls visit with the repeats that each service's calls have left here.
 func (r *retries) each(visit func(service string, left float64)) {
 	r.byService.Range(func(service, p any) bool {
-		visit(service.(string), p.(*retry.Policy).Left())
+		visit(service.(string), p.(*retry.Policy).RemainingRetries())
 		return true
 	})
 }
 
 // Called implements proxy.Retrier.
-func (r *retries) Called(service string) { r.policy(service).Called() }
+func (r *retries) Called(service string) { r.policy(service).RecordCall() }
 
 // Decide implements proxy.Retrier.
 func (r *retries) Decide(service string, in retry.Input) retry.Decision {
 	d := r.policy(service).Decide(in)
-	r.why.add(string(d.Why))
+	r.why.add(string(d.Reason))
 	return d
 }
--- a/internal/proxy/again_test.go
+++ b/internal/proxy/again_test.go
@@ -17,7 +17,7 @@
 // full is a gate without room, that counts who asks.
 type full struct{ asked atomic.Int64 }
 
-func (f *full) Acquire(context.Context, Backend, *config.Target, limit.Times) (Permit, error) {
+func (f *full) Acquire(context.Context, Backend, *config.Target, limit.AcquireOptions) (Permit, error) {
 	f.asked.Add(1)
 	return nil, refuse(call.ReasonOverloaded, time.Second, "")
 }
--- a/internal/proxy/baseline.go
+++ b/internal/proxy/baseline.go
@@ -104,7 +104,7 @@
 }
 
 // Acquire waits for a slot.
-func (f *FixedLimit) Acquire(ctx context.Context, b Backend, _ *config.Target, times limit.Times) (Permit, error) {
+func (f *FixedLimit) Acquire(ctx context.Context, b Backend, _ *config.Target, times limit.AcquireOptions) (Permit, error) {
 	slots := f.of(b)
 	select {
 	case slots <- struct{}{}:
--- a/internal/proxy/destination_admit.go
+++ b/internal/proxy/destination_admit.go
@@ -51,8 +51,8 @@
 // enter waits for a slot and asks whether the request is suspected.
 func (d *Destination) enter(ctx context.Context, now time.Time, in *inbound, h *holding) (*call.Refusal, error) {
 	if d.Gates != nil {
-		times := limit.Times{
-			Asked: now.Add(-in.hop.waited), Once: in.hop.once, NoWait: in.hop.noWait,
+		times := limit.AcquireOptions{
+			FirstAttempt: now.Add(-in.hop.waited), OneShot: in.hop.once, NoWait: in.hop.noWait,
 			Deadline: startBy(now, in.deadline), Caller: d.caller(in.header),
 		}
 		permit, err := d.Gates.Acquire(ctx, h.backend, h.target, times)
--- a/internal/proxy/entry_answer.go
+++ b/internal/proxy/entry_answer.go
@@ -70,7 +70,7 @@
 	w.Header()[retry.HeaderFinal] = finalValue
 	if a.refusal != nil {
 		r := *a.refusal
-		r.RetryAfter = max(r.RetryAfter, d.ComeBack)
+		r.RetryAfter = max(r.RetryAfter, d.RetryAfter)
 		e.refuse(w, c, &r)
 		return
 	}
--- a/internal/proxy/entry_log.go
+++ b/internal/proxy/entry_log.go
@@ -47,7 +47,7 @@
 
 func (e *Entry) logRetry(c *entering, ep Endpoint, a *answer, d retry.Decision) {
 	now := e.Now()
-	l := e.line(now, decisions.Retried, c).Str("endpoint", ep.ID).Str("why", string(d.Why)).Int64("left_ms", c.left(now))
+	l := e.line(now, decisions.Retried, c).Str("endpoint", ep.ID).Str("why", string(d.Reason)).Int64("left_ms", c.left(now))
 	if a.refusal != nil {
 		l = l.Str("reason", string(a.refusal.Reason)).Str("detail", a.refusal.Detail)
 	}
--- a/internal/proxy/entry_run.go
+++ b/internal/proxy/entry_run.go
@@ -90,13 +90,13 @@
 		Attempt: c.n, Elapsed: now.Sub(c.start), Remaining: c.deadline.Sub(now),
 		Reached: c.reached, MaxReached: c.target.Attempts,
 		Refusal: a.refusal, BodyReplayable: c.body.reusable(),
-		Final: a.refusal != nil && a.refusal.Detail == detailDeep,
-		Below: c.below, TriedAll: e.Pickers.TriedAll(now, c.target, c.tried),
-		Once: e.returns.never(c.target.Name), Overdue: c.overdue(now),
+		Final:         a.refusal != nil && a.refusal.Detail == detailDeep,
+		ParentRetried: c.below, TriedAll: e.Pickers.TriedAll(now, c.target, c.tried),
+		OneShot: e.returns.never(c.target.Name), Overdue: c.overdue(now),
 	})
 	if d.Retry && e.Suspects != nil && e.Suspects.Blocked(now, c.fp) != nil {
 		d.Retry = false
 	}
-	d.Retry = d.Retry && wait.For(ctx, d.After) == nil
+	d.Retry = d.Retry && wait.For(ctx, d.Backoff) == nil
 	return d
 }
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -269,7 +269,7 @@
 	calls atomic.Int64
 }
 
-func (g *fullOnce) Acquire(ctx context.Context, b Backend, t *config.Target, times limit.Times) (Permit, error) {
+func (g *fullOnce) Acquire(ctx context.Context, b Backend, t *config.Target, times limit.AcquireOptions) (Permit, error) {
 	g.calls.Add(1)
 	if g.all.Add(1) == 1 {
 		return nil, &call.Refusal{Reason: call.ReasonOverloaded}
--- a/internal/proxy/late_refusal_test.go
+++ b/internal/proxy/late_refusal_test.go
@@ -17,7 +17,7 @@
 // refusesLate refuses every call after a while in its queue.
 type refusesLate struct{ after time.Duration }
 
-func (g refusesLate) Acquire(ctx context.Context, _ Backend, _ *config.Target, _ limit.Times) (Permit, error) {
+func (g refusesLate) Acquire(ctx context.Context, _ Backend, _ *config.Target, _ limit.AcquireOptions) (Permit, error) {
 	select {
 	case <-time.After(g.after):
 	case <-ctx.Done():
--- a/internal/proxy/look_model_test.go
+++ b/internal/proxy/look_model_test.go
@@ -166,7 +166,7 @@
 }
 
 func (m *model) arrive(now time.Time, c *modelCall, choice route.Choice, to *modelNode, way time.Duration, wait bool) {
-	e := &limit.Entry{Asked: c.asked, NoWait: !wait}
+	e := &limit.Entry{FirstAttempt: c.asked, NoWait: !wait}
 	m.owners[e] = func(at time.Time, refused *call.Refusal) {
 		delete(m.owners, e)
 		if refused == nil {
--- a/internal/proxy/look_test.go
+++ b/internal/proxy/look_test.go
@@ -26,7 +26,7 @@
 	looked, waited int
 }
 
-func (g *fullGate) Acquire(_ context.Context, _ Backend, _ *config.Target, times limit.Times) (Permit, error) {
+func (g *fullGate) Acquire(_ context.Context, _ Backend, _ *config.Target, times limit.AcquireOptions) (Permit, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if times.NoWait {
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -127,7 +127,7 @@
 // Gates queues calls for the slots of this VM's backend servers. Its error is
 // a *call.Refusal, or that of ctx.
 type Gates interface {
-	Acquire(ctx context.Context, b Backend, t *config.Target, times limit.Times) (Permit, error)
+	Acquire(ctx context.Context, b Backend, t *config.Target, times limit.AcquireOptions) (Permit, error)
 }
 
 // SlotUse tells how a gate uses its backend server's slots.
--- a/internal/proxy/quiet_test.go
+++ b/internal/proxy/quiet_test.go
@@ -44,7 +44,7 @@
 // comes waits until its deadline.
 type hanging struct{}
 
-func (hanging) Acquire(ctx context.Context, _ Backend, _ *config.Target, times limit.Times) (Permit, error) {
+func (hanging) Acquire(ctx context.Context, _ Backend, _ *config.Target, times limit.AcquireOptions) (Permit, error) {
 	t := time.NewTimer(time.Until(times.Deadline))
 	defer t.Stop()
 	select {
@@ -58,7 +58,7 @@
 // policied decides by the policy of one service.
 type policied struct{ p *retry.Policy }
 
-func (p policied) Called(string) { p.p.Called() }
+func (p policied) Called(string) { p.p.RecordCall() }
 
 func (p policied) Decide(_ string, in retry.Input) retry.Decision { return p.p.Decide(in) }
 
@@ -213,7 +213,7 @@
 // deadline.
 type dropping struct{}
 
-func (dropping) Acquire(context.Context, Backend, *config.Target, limit.Times) (Permit, error) {
+func (dropping) Acquire(context.Context, Backend, *config.Target, limit.AcquireOptions) (Permit, error) {
 	return nil, refuse(call.ReasonExpired, 0, "")
 }
 
--- a/internal/proxy/returns_test.go
+++ b/internal/proxy/returns_test.go
@@ -71,9 +71,9 @@
 }
 
 // gateOf hands the times of each call to a channel and lets it run.
-type gateOf chan limit.Times
+type gateOf chan limit.AcquireOptions
 
-func (g gateOf) Acquire(_ context.Context, _ Backend, _ *config.Target, times limit.Times) (Permit, error) {
+func (g gateOf) Acquire(_ context.Context, _ Backend, _ *config.Target, times limit.AcquireOptions) (Permit, error) {
 	g <- times
 	if len(g) == 1 {
 		return nil, &call.Refusal{Reason: call.ReasonOverloaded, RetryAfter: 30 * time.Millisecond}
@@ -102,7 +102,7 @@
 		t.Fatalf("got %v, %v", resp, err)
 	}
 	first, second := <-seen, <-seen
-	if waited := second.Deadline.Sub(second.Asked) - first.Deadline.Sub(first.Asked); waited < 2*waitedLeast {
+	if waited := second.Deadline.Sub(second.FirstAttempt) - first.Deadline.Sub(first.FirstAttempt); waited < 2*waitedLeast {
 		t.Errorf("the destination counts %v of waiting more for the second sending", waited)
 	}
 }
--- a/internal/retry/levels_test.go
+++ b/internal/retry/levels_test.go
@@ -35,7 +35,7 @@
 // whether it came back marked final.
 func (l *levels) call(level int, below bool) (ok, final bool) {
 	if l.policies != nil {
-		l.policies[level].Called()
+		l.policies[level].RecordCall()
 	}
 	for attempt := 1; ; attempt++ {
 		retried := below && l.passRetried || attempt > 1
@@ -64,7 +64,7 @@
 	in := Input{
 		Now: l.now, Outcome: call.NotRun, Idempotent: true, Attempt: attempt,
 		Remaining: time.Minute, BodyReplayable: true, Final: final,
-		Below: below && l.passRetried, Refusal: refusal(call.ReasonOverloaded),
+		ParentRetried: below && l.passRetried, Refusal: refusal(call.ReasonOverloaded),
 	}
 	if l.breaks && level < l.depth-1 {
 		in.Outcome, in.Refusal = call.Unknown, nil
@@ -159,7 +159,7 @@
 func TestLeaversDontUseUpTheBudget(t *testing.T) {
 	p := New(Options{Rand: newSeeded(1)})
 	for i := range 500 {
-		p.Called()
+		p.RecordCall()
 		if d := p.Decide(input(func(*Input) {})); !d.Retry {
 			t.Fatalf("call %d: %+v", i, d)
 		}
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -22,11 +22,11 @@
 
 // Defaults of Options.
 const (
-	DefaultMaxAttempts = 3
-	DefaultBackoff     = 5 * time.Millisecond
-	DefaultBackoffMax  = 100 * time.Millisecond
-	DefaultComeBack    = time.Second
-	DefaultComeBackMax = 8 * time.Second
+	DefaultMaxAttempts   = 3
+	DefaultBackoff       = 5 * time.Millisecond
+	DefaultBackoffMax    = 100 * time.Millisecond
+	DefaultRetryAfterMin = time.Second
+	DefaultRetryAfterMax = 8 * time.Second
 )
 
 // minRemaining is the time left below which another attempt is pointless.
@@ -38,16 +38,16 @@
 
 // Options sets up a Policy. Zero fields take the defaults.
 type Options struct {
-	MaxAttempts int // attempts in all
-	Backoff     time.Duration
-	BackoffMax  time.Duration
-	ComeBack    time.Duration // the least that a client is told to wait
-	ComeBackMax time.Duration
-	Budget      BudgetOptions
-	// CountReached makes only those retries draw on the budget in full that
+	MaxAttempts   int // attempts in all
+	Backoff       time.Duration
+	BackoffMax    time.Duration
+	RetryAfterMin time.Duration // the least that a client is told to wait
+	RetryAfterMax time.Duration
+	Budget        BudgetOptions
+	// ChargeReachedOnly makes only those retries draw on the budget in full that
 	// follow an attempt which reached a backend server: a first one is no
 	// further load, whatever was refused before it.
-	CountReached bool
+	ChargeReachedOnly bool
 	// Rand must be safe for concurrent use; nil takes the runtime's source.
 	Rand rand.Source
 }
@@ -64,8 +64,8 @@
 	setDefault(&o.MaxAttempts, DefaultMaxAttempts)
 	setDefault(&o.Backoff, DefaultBackoff)
 	setDefault(&o.BackoffMax, DefaultBackoffMax)
-	setDefault(&o.ComeBack, DefaultComeBack)
-	setDefault(&o.ComeBackMax, DefaultComeBackMax)
+	setDefault(&o.RetryAfterMin, DefaultRetryAfterMin)
+	setDefault(&o.RetryAfterMax, DefaultRetryAfterMax)
 	if o.Rand == nil {
 		o.Rand = runtimeSource{}
 	}
@@ -100,57 +100,57 @@
 	Refusal *call.Refusal
 	// Overdue says that the call can only be answered later than its class aims at.
 	Overdue bool
-	// Once says that the caller will not come back when the call is refused.
-	Once bool
+	// OneShot says that the caller will not come back when the call is refused.
+	OneShot bool
 	// TriedAll says that every endpoint that takes calls was tried.
 	TriedAll bool
 	// BodyReplayable says that the body can be sent again from its start.
 	BodyReplayable bool
 	// Final says that the answer bore HeaderFinal.
 	Final bool
-	// Below says that the call came in with HeaderRetried.
-	Below bool
+	// ParentRetried says that the call came in with HeaderRetried.
+	ParentRetried bool
 }
 
-// Why says what decided.
-type Why string
+// DecisionReason says what decided.
+type DecisionReason string
 
 // The reasons for a decision.
 const (
-	WhyElsewhere  Why = "retry-elsewhere"   // another endpoint may run it
-	WhyAgain      Why = "retry"             // the same endpoints, after a wait
-	WhyRan        Why = "ran"               // it was run; its answer stands
-	WhyMayHaveRun Why = "may-have-run"      // not idempotent, and may have run
-	WhyBody       Why = "body-gone"         // the body can't be sent again
-	WhyFinal      Why = "final"             // a node further down gave up
-	WhyBelow      Why = "below-a-retry"     // a node further up is retrying
-	WhyUseless    Why = "no-better-later"   // no endpoint would answer otherwise
-	WhyAttempts   Why = "attempts-used-up"  // the bound on attempts
-	WhyDeadline   Why = "deadline-too-near" // no time for another attempt
-	WhyBudget     Why = "budget-empty"      // too many retries as it is
+	ReasonOtherEndpoint     DecisionReason = "retry-elsewhere"   // another endpoint may run it
+	ReasonSameEndpoints     DecisionReason = "retry"             // the same endpoints, after a wait
+	ReasonRan               DecisionReason = "ran"               // it was run; its answer stands
+	ReasonMayHaveRun        DecisionReason = "may-have-run"      // not idempotent, and may have run
+	ReasonBodyConsumed      DecisionReason = "body-gone"         // the body can't be sent again
+	ReasonFinal             DecisionReason = "final"             // a node further down gave up
+	ReasonParentRetried     DecisionReason = "below-a-retry"     // a node further up is retrying
+	ReasonNoBenefit         DecisionReason = "no-better-later"   // no endpoint would answer otherwise
+	ReasonAttemptsExhausted DecisionReason = "attempts-used-up"  // the bound on attempts
+	ReasonDeadlineTooNear   DecisionReason = "deadline-too-near" // no time for another attempt
+	ReasonBudgetExhausted   DecisionReason = "budget-empty"      // too many retries as it is
 )
 
 // Decision is what to do next. When Retry is false the caller gets its answer
 // at once.
 type Decision struct {
-	Retry bool
-	After time.Duration // how long to wait before the next attempt
-	Why   Why
-	// ComeBack is what to tell the client in Retry-After; zero when coming
+	Retry   bool
+	Backoff time.Duration // how long to wait before the next attempt
+	Reason  DecisionReason
+	// RetryAfter is what to tell the client in Retry-After; zero when coming
 	// back would not help or might run the call twice.
-	ComeBack time.Duration
+	RetryAfter time.Duration
 }
 
 // SetFloor replaces what the budget may spend whatever the calls: perSecond
 // retries a second, of which it may save up to burst.
 func (p *Policy) SetFloor(perSecond, burst float64) { p.budget.setFloor(perSecond, burst) }
 
-// Left returns how many retries the budget has left at present.
-func (p *Policy) Left() float64 { return p.budget.left() }
+// RemainingRetries returns how many retries the budget has left at present.
+func (p *Policy) RemainingRetries() float64 { return p.budget.left() }
 
-// Called counts a call. It fills the budget, so it must be told once for each
+// RecordCall counts a call. It fills the budget, so it must be told once for each
 // call that comes in, and not for retries.
-func (p *Policy) Called() { p.budget.deposit() }
+func (p *Policy) RecordCall() { p.budget.deposit() }
 
 // Decide decides whether the call is sent again.
 func (p *Policy) Decide(in Input) Decision {
@@ -159,40 +159,40 @@
 	}
 	after := p.wait(in)
 	if in.Remaining-after < minRemaining {
-		return p.giveUp(in, WhyDeadline)
+		return p.giveUp(in, ReasonDeadlineTooNear)
 	}
 	if !p.budget.withdraw(in.Now, p.price(in)) {
-		return p.giveUp(in, WhyBudget)
+		return p.giveUp(in, ReasonBudgetExhausted)
 	}
-	why := WhyElsewhere
+	why := ReasonOtherEndpoint
 	if in.TriedAll {
-		why = WhyAgain
+		why = ReasonSameEndpoints
 	}
-	return Decision{Retry: true, After: after, Why: why}
+	return Decision{Retry: true, Backoff: after, Reason: why}
 }
 
 // stops holds the rules that don't depend on time or budget.
-func (p *Policy) stops(in Input) (Why, bool) {
+func (p *Policy) stops(in Input) (DecisionReason, bool) {
 	switch in.Outcome {
 	case call.NotRun:
 	case call.Unknown:
 		if !in.Idempotent && !defect.On(defect.ResendUnknown) {
-			return WhyMayHaveRun, true
+			return ReasonMayHaveRun, true
 		}
 	default:
-		return WhyRan, true
+		return ReasonRan, true
 	}
 	switch {
 	case !in.BodyReplayable:
-		return WhyBody, true
+		return ReasonBodyConsumed, true
 	case in.Final:
-		return WhyFinal, true
-	case in.Below && !p.mayRetryBelow(in):
-		return WhyBelow, true
+		return ReasonFinal, true
+	case in.ParentRetried && !p.mayRetryBelow(in):
+		return ReasonParentRetried, true
 	case in.Outcome == call.NotRun && !helps(in):
-		return WhyUseless, true
+		return ReasonNoBenefit, true
 	case in.Attempt >= p.opt.MaxAttempts || in.MaxReached > 0 && in.Reached >= in.MaxReached:
-		return WhyAttempts, true
+		return ReasonAttemptsExhausted, true
 	}
 	return "", false
 }
@@ -213,7 +213,7 @@
 	case kindGone:
 		return true
 	case kindFull:
-		return !in.TriedAll && (in.Once || in.Attempt < maxFull && !in.Overdue)
+		return !in.TriedAll && (in.OneShot || in.Attempt < maxFull && !in.Overdue)
 	case kindRate:
 		return !in.TriedAll
 	}
@@ -253,7 +253,7 @@
 // cost nothing either, and a class far over its rate makes many; they are
 // cheaper still, so that they leave some of what the calls pay in.
 func (p *Policy) price(in Input) int64 {
-	if p.opt.CountReached {
+	if p.opt.ChargeReachedOnly {
 		if in.Reached > 0 {
 			return priceWhole
 		}
@@ -291,24 +291,24 @@
 	return time.Duration(p.opt.Rand.Uint64() % uint64(bound+1))
 }
 
-func (p *Policy) giveUp(in Input, why Why) Decision {
-	return Decision{Why: why, ComeBack: p.comeBack(in, why)}
+func (p *Policy) giveUp(in Input, why DecisionReason) Decision {
+	return Decision{Reason: why, RetryAfter: p.comeBack(in, why)}
 }
 
 // comeBack returns what a client is told. It is jittered, so that clients
 // refused together don't come back together, and grows as the budget empties,
 // which is the sign that many are refused.
-func (p *Policy) comeBack(in Input, why Why) time.Duration {
-	if in.Outcome != call.NotRun && !in.Idempotent || why == WhyRan {
+func (p *Policy) comeBack(in Input, why DecisionReason) time.Duration {
+	if in.Outcome != call.NotRun && !in.Idempotent || why == ReasonRan {
 		return 0
 	}
-	least := p.opt.ComeBack
+	least := p.opt.RetryAfterMin
 	if in.Refusal != nil {
 		if in.Refusal.RetryAfter == 0 && kindOf(in.Refusal.Reason) == kindCall {
 			return 0
 		}
 		least = max(least, in.Refusal.RetryAfter)
 	}
-	spread := time.Duration(p.budget.emptiness() * float64(p.opt.ComeBackMax-p.opt.ComeBack))
-	return least + p.jitter(max(spread, p.opt.ComeBack))
+	spread := time.Duration(p.budget.emptiness() * float64(p.opt.RetryAfterMax-p.opt.RetryAfterMin))
+	return least + p.jitter(max(spread, p.opt.RetryAfterMin))
 }
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -46,40 +46,40 @@
 	cases := []struct {
 		name   string
 		change func(*Input)
-		want   Why
+		want   DecisionReason
 		retry  bool
 	}{
-		{"refused, other endpoints", func(*Input) {}, WhyElsewhere, true},
-		{"refused by all as draining", func(in *Input) { in.TriedAll = true }, WhyAgain, true},
-		{"overloaded, other endpoints", func(in *Input) { in.Refusal = refusal(call.ReasonOverloaded) }, WhyElsewhere, true},
-		{"overloaded everywhere", func(in *Input) { in.Refusal, in.TriedAll = refusal(call.ReasonOverloaded), true }, WhyUseless, false},
-		{"over its rate here", func(in *Input) { in.Refusal = refusal(call.ReasonOverRate) }, WhyElsewhere, true},
-		{"over its rate everywhere", func(in *Input) { in.Refusal, in.TriedAll = refusal(call.ReasonOverRate), true }, WhyUseless, false},
-		{"a suspect pinned elsewhere", func(in *Input) { in.Refusal = refusal(call.ReasonPinned) }, WhyElsewhere, true},
-		{"a suspect held back", func(in *Input) { in.Refusal = refusal(call.ReasonHeldBack) }, WhyUseless, false},
-		{"below a retry, over its rate", func(in *Input) { in.Below, in.Refusal = true, refusal(call.ReasonOverRate) }, WhyBelow, false},
-		{"quarantined", func(in *Input) { in.Refusal = refusal(call.ReasonQuarantined) }, WhyUseless, false},
-		{"no endpoint", func(in *Input) { in.Refusal = refusal(call.ReasonNoEndpoint) }, WhyUseless, false},
-		{"deadline passed in a queue", func(in *Input) { in.Refusal = refusal(call.ReasonExpired) }, WhyUseless, false},
-		{"may have run, not idempotent", func(in *Input) { in.Outcome, in.Refusal = call.Unknown, nil }, WhyMayHaveRun, false},
-		{"may have run, idempotent", func(in *Input) { in.Outcome, in.Refusal, in.Idempotent = call.Unknown, nil, true }, WhyElsewhere, true},
-		{"ran", func(in *Input) { in.Outcome, in.Refusal, in.Idempotent = call.Ran, nil, true }, WhyRan, false},
-		{"no outcome", func(in *Input) { in.Outcome, in.Idempotent = 0, true }, WhyRan, false},
-		{"body gone", func(in *Input) { in.BodyReplayable = false }, WhyBody, false},
-		{"a node further down gave up", func(in *Input) { in.Final = true }, WhyFinal, false},
-		{"below a retry, overloaded", func(in *Input) { in.Below, in.Refusal = true, refusal(call.ReasonOverloaded) }, WhyBelow, false},
-		{"below a retry, draining", func(in *Input) { in.Below = true }, WhyElsewhere, true},
-		{"below a retry, draining twice", func(in *Input) { in.Below, in.Attempt = true, 2 }, WhyBelow, false},
-		{"attempts used up", func(in *Input) { in.Attempt = DefaultMaxAttempts }, WhyAttempts, false},
-		{"no time left", func(in *Input) { in.Remaining = time.Millisecond }, WhyDeadline, false},
+		{"refused, other endpoints", func(*Input) {}, ReasonOtherEndpoint, true},
+		{"refused by all as draining", func(in *Input) { in.TriedAll = true }, ReasonSameEndpoints, true},
+		{"overloaded, other endpoints", func(in *Input) { in.Refusal = refusal(call.ReasonOverloaded) }, ReasonOtherEndpoint, true},
+		{"overloaded everywhere", func(in *Input) { in.Refusal, in.TriedAll = refusal(call.ReasonOverloaded), true }, ReasonNoBenefit, false},
+		{"over its rate here", func(in *Input) { in.Refusal = refusal(call.ReasonOverRate) }, ReasonOtherEndpoint, true},
+		{"over its rate everywhere", func(in *Input) { in.Refusal, in.TriedAll = refusal(call.ReasonOverRate), true }, ReasonNoBenefit, false},
+		{"a suspect pinned elsewhere", func(in *Input) { in.Refusal = refusal(call.ReasonPinned) }, ReasonOtherEndpoint, true},
+		{"a suspect held back", func(in *Input) { in.Refusal = refusal(call.ReasonHeldBack) }, ReasonNoBenefit, false},
+		{"below a retry, over its rate", func(in *Input) { in.ParentRetried, in.Refusal = true, refusal(call.ReasonOverRate) }, ReasonParentRetried, false},
+		{"quarantined", func(in *Input) { in.Refusal = refusal(call.ReasonQuarantined) }, ReasonNoBenefit, false},
+		{"no endpoint", func(in *Input) { in.Refusal = refusal(call.ReasonNoEndpoint) }, ReasonNoBenefit, false},
+		{"deadline passed in a queue", func(in *Input) { in.Refusal = refusal(call.ReasonExpired) }, ReasonNoBenefit, false},
+		{"may have run, not idempotent", func(in *Input) { in.Outcome, in.Refusal = call.Unknown, nil }, ReasonMayHaveRun, false},
+		{"may have run, idempotent", func(in *Input) { in.Outcome, in.Refusal, in.Idempotent = call.Unknown, nil, true }, ReasonOtherEndpoint, true},
+		{"ran", func(in *Input) { in.Outcome, in.Refusal, in.Idempotent = call.Ran, nil, true }, ReasonRan, false},
+		{"no outcome", func(in *Input) { in.Outcome, in.Idempotent = 0, true }, ReasonRan, false},
+		{"body gone", func(in *Input) { in.BodyReplayable = false }, ReasonBodyConsumed, false},
+		{"a node further down gave up", func(in *Input) { in.Final = true }, ReasonFinal, false},
+		{"below a retry, overloaded", func(in *Input) { in.ParentRetried, in.Refusal = true, refusal(call.ReasonOverloaded) }, ReasonParentRetried, false},
+		{"below a retry, draining", func(in *Input) { in.ParentRetried = true }, ReasonOtherEndpoint, true},
+		{"below a retry, draining twice", func(in *Input) { in.ParentRetried, in.Attempt = true, 2 }, ReasonParentRetried, false},
+		{"attempts used up", func(in *Input) { in.Attempt = DefaultMaxAttempts }, ReasonAttemptsExhausted, false},
+		{"no time left", func(in *Input) { in.Remaining = time.Millisecond }, ReasonDeadlineTooNear, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			d := New(Options{Rand: newSeeded(1)}).Decide(input(c.change))
-			if d.Why != c.want || d.Retry != c.retry {
+			if d.Reason != c.want || d.Retry != c.retry {
 				t.Errorf("got %+v", d)
 			}
-			if d.Retry && d.ComeBack != 0 || !d.Retry && d.After != 0 {
+			if d.Retry && d.RetryAfter != 0 || !d.Retry && d.Backoff != 0 {
 				t.Errorf("both a retry and a final answer: %+v", d)
 			}
 		})
@@ -91,17 +91,17 @@
 func TestComeBackOnlyWhenHarmless(t *testing.T) {
 	p := New(Options{Rand: newSeeded(1)})
 	d := p.Decide(input(func(in *Input) { in.Outcome, in.Refusal = call.Unknown, nil }))
-	if d.ComeBack != 0 {
-		t.Errorf("a call that may have run is told to come back in %v", d.ComeBack)
+	if d.RetryAfter != 0 {
+		t.Errorf("a call that may have run is told to come back in %v", d.RetryAfter)
 	}
 	d = p.Decide(input(func(in *Input) { in.Attempt = DefaultMaxAttempts }))
-	if d.ComeBack < DefaultComeBack {
-		t.Errorf("a refused call is told to come back in %v", d.ComeBack)
+	if d.RetryAfter < DefaultRetryAfterMin {
+		t.Errorf("a refused call is told to come back in %v", d.RetryAfter)
 	}
 	long := &call.Refusal{Reason: call.ReasonQuarantined, RetryAfter: time.Minute}
 	d = p.Decide(input(func(in *Input) { in.Refusal = long }))
-	if d.ComeBack < time.Minute {
-		t.Errorf("told to come back in %v, before the refusal ends", d.ComeBack)
+	if d.RetryAfter < time.Minute {
+		t.Errorf("told to come back in %v, before the refusal ends", d.RetryAfter)
 	}
 }
 
@@ -116,8 +116,8 @@
 			in.Remaining = time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "remaining"))
 		})
 		d := p.Decide(in)
-		if d.After > in.Remaining/waitShare || d.After > DefaultBackoffMax {
-			t.Fatalf("waits %v of %v", d.After, in.Remaining)
+		if d.Backoff > in.Remaining/waitShare || d.Backoff > DefaultBackoffMax {
+			t.Fatalf("waits %v of %v", d.Backoff, in.Remaining)
 		}
 	})
 }
@@ -151,7 +151,7 @@
 			if !d.Retry {
 				break
 			}
-			now = now.Add(d.After)
+			now = now.Add(d.Backoff)
 		}
 		if runs > 1 {
 			t.Fatalf("ran %d times", runs)
@@ -197,7 +197,7 @@
 	in := input(func(in *Input) { in.Refusal = refusal(call.ReasonOverloaded) })
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Called()
+		p.RecordCall()
 		p.Decide(in)
 	}
 }
@@ -207,10 +207,10 @@
 // mesh may repeat; tries that a backend server got must, and end at the class's
 // bound.
 func TestOnlyReachedAttemptsDrawOnTheBudget(t *testing.T) {
-	p := New(Options{Rand: newSeeded(1), CountReached: true, MaxAttempts: 6, Budget: BudgetOptions{Ratio: 0.1, Burst: 4}})
+	p := New(Options{Rand: newSeeded(1), ChargeReachedOnly: true, MaxAttempts: 6, Budget: BudgetOptions{Ratio: 0.1, Burst: 4}})
 	p.SetFloor(0, 2)
 	for i := range 100 {
-		p.Called()
+		p.RecordCall()
 		in := input(func(in *Input) { in.Refusal = refusal(call.ReasonOverloaded) })
 		if d := p.Decide(in); !d.Retry {
 			t.Fatalf("call %d: %+v", i, d)
@@ -223,8 +223,8 @@
 	if spent == 0 || spent > 4 {
 		t.Errorf("%d retries from a budget of 4", spent)
 	}
-	d := New(Options{Rand: newSeeded(1), CountReached: true}).Decide(input(func(in *Input) { in.Reached, in.MaxReached = 2, 2 }))
-	if d.Retry || d.Why != WhyAttempts {
+	d := New(Options{Rand: newSeeded(1), ChargeReachedOnly: true}).Decide(input(func(in *Input) { in.Reached, in.MaxReached = 2, 2 }))
+	if d.Retry || d.Reason != ReasonAttemptsExhausted {
 		t.Errorf("a third backend server where two are allowed: %+v", d)
 	}
 }
