--- a/internal/retry/doc.go
+++ b/internal/retry/doc.go
@@ -1,11 +1,12 @@
-// Package retry decides whether a call is sent again after an attempt.
+// Package retry decides whether a call is retried after a failed attempt.
 //
-// Three rules bound it. A call that is not idempotent is sent again only after
-// an attempt that was not run. Every retry is paid for from a budget that the
-// calls of the service fill. And a call is retried at one level only: by the
-// entry node next to the destination that failed it. What that node gives up
-// on is answered at once and marked final (HeaderFinal), and a call that is
-// itself below a retry (HeaderRetried) is not retried further down.
+// Three rules limit retries. A call that is not idempotent is retried only
+// after an attempt that did not run. Every retry is charged to a retry budget
+// that grows with the calls of the service. And a call is retried at one level
+// of a call chain only: by the entry node next to the destination that failed
+// it. When that node gives up, it answers at once and marks the answer final
+// (HeaderFinal); a call made on behalf of a retried call (HeaderRetried) is not
+// retried further down the chain.
 //
 // docs/design/retries.md gives the reasons and the figures.
 package retry
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -8,15 +8,15 @@
 	"github.com/marlpass/marlpass/internal/defect"
 )
 
-// Headers that keep retries at one level.
+// Headers that keep retries at one level of a call chain.
 const (
-	// HeaderFinal marks an answer whose call a node gave up on. An entry node
-	// that gets it from a backend server doesn't retry: a node further down
-	// did what could be done. It is passed up unchanged.
+	// HeaderFinal marks the answer to a call that a node gave up on. An entry
+	// node that receives it from a backend server passes it on and doesn't
+	// retry, since a node further down the chain has already retried.
 	HeaderFinal = "Marlpass-Final"
 	// HeaderRetried is set to "1" on every attempt after the first. A backend
-	// server that copies it to the calls it makes for the request, as it
-	// copies trace headers, keeps the nodes further down from retrying too.
+	// server that copies it to the calls it makes for the request, like trace
+	// headers, prevents retries further down the chain.
 	HeaderRetried = "Marlpass-Retried"
 )
 
@@ -29,37 +29,38 @@
 	DefaultRetryAfterMax = 8 * time.Second
 )
 
-// minRemaining is the time left below which another attempt is pointless.
+// minRemaining is the least time before the deadline for another attempt.
 const minRemaining = 2 * time.Millisecond
 
-// waitShare bounds a wait to this part of the time left, so that a call that
-// is going to be given up on gets its answer early.
-const waitShare = 8
+// backoffDivisor limits a backoff to the remaining time divided by it, so that
+// a call that fails in the end is answered well before its deadline.
+const backoffDivisor = 8
 
-// Options sets up a Policy. Zero fields take the defaults.
+// Options configures a Policy. Zero fields take the defaults.
 type Options struct {
-	MaxAttempts   int // attempts in all
+	MaxAttempts   int // including the first one
 	Backoff       time.Duration
 	BackoffMax    time.Duration
-	RetryAfterMin time.Duration // the least that a client is told to wait
+	RetryAfterMin time.Duration
 	RetryAfterMax time.Duration
 	Budget        BudgetOptions
-	// ChargeReachedOnly makes only those retries draw on the budget in full that
-	// follow an attempt which reached a backend server: a first one is no
-	// further load, whatever was refused before it.
+	// ChargeReachedOnly charges the full cost only for retries after an attempt
+	// that reached a backend server. Until then no backend server has done any
+	// work for the call, so a retry adds no load.
 	ChargeReachedOnly bool
-	// Rand must be safe for concurrent use; nil takes the runtime's source.
+	// Rand must be safe for concurrent use; nil means the runtime's source.
 	Rand rand.Source
 }
 
-// Policy decides on retries for one service at one node. It is safe for
+// Policy decides on the retries of one service at one node. It is safe for
 // concurrent use and takes no lock.
 type Policy struct {
-	opt    Options
-	budget Budget
+	options Options
+	budget  Budget
 }
 
-// New returns a Policy with a full budget floor.
+// New returns a Policy whose budget holds as many retries as its floor can
+// accumulate.
 func New(o Options) *Policy {
 	setDefault(&o.MaxAttempts, DefaultMaxAttempts)
 	setDefault(&o.Backoff, DefaultBackoff)
@@ -69,7 +70,7 @@
 	if o.Rand == nil {
 		o.Rand = runtimeSource{}
 	}
-	p := &Policy{opt: o}
+	p := &Policy{options: o}
 	p.budget.init(o.Budget)
 	return p
 }
@@ -84,95 +85,96 @@
 
 func (runtimeSource) Uint64() uint64 { return rand.Uint64() }
 
-// Input is what is known when an attempt did not give a good answer.
+// Input describes a call whose last attempt failed.
 type Input struct {
 	Now        time.Time
 	Outcome    call.Outcome
 	Idempotent bool
 	Attempt    int // attempts made so far, at least one
-	// Reached is how many of them a backend server got, and MaxReached how many
-	// may; zero means no bound.
+	// Reached is how many of the attempts reached a backend server, and
+	// MaxReached how many may; zero means no limit.
 	Reached    int
 	MaxReached int
-	Elapsed    time.Duration // since the call came in
+	Elapsed    time.Duration // since the call was received
 	Remaining  time.Duration // until its deadline
 	// Refusal is set when the attempt was refused.
 	Refusal *call.Refusal
-	// Overdue says that the call can only be answered later than its class aims at.
+	// Overdue reports whether the call can no longer meet its class's latency target.
 	Overdue bool
-	// OneShot says that the caller will not come back when the call is refused.
+	// OneShot reports whether the caller does not retry a refused call.
 	OneShot bool
-	// TriedAll says that every endpoint that takes calls was tried.
+	// TriedAll reports whether every endpoint that takes calls was tried.
 	TriedAll bool
-	// BodyReplayable says that the body can be sent again from its start.
+	// BodyReplayable reports whether the body can be sent again from its start.
 	BodyReplayable bool
-	// Final says that the answer bore HeaderFinal.
+	// Final reports whether the answer carried HeaderFinal.
 	Final bool
-	// ParentRetried says that the call came in with HeaderRetried.
+	// ParentRetried reports whether the call was received with HeaderRetried.
 	ParentRetried bool
 }
 
-// DecisionReason says what decided.
+// DecisionReason names the rule that led to a Decision.
 type DecisionReason string
 
-// The reasons for a decision.
+// Reasons for a Decision.
 const (
 	ReasonOtherEndpoint     DecisionReason = "retry-elsewhere"   // another endpoint may run it
-	ReasonSameEndpoints     DecisionReason = "retry"             // the same endpoints, after a wait
-	ReasonRan               DecisionReason = "ran"               // it was run; its answer stands
+	ReasonSameEndpoints     DecisionReason = "retry"             // endpoints tried before, after a backoff
+	ReasonRan               DecisionReason = "ran"               // the call was run, its answer is final
 	ReasonMayHaveRun        DecisionReason = "may-have-run"      // not idempotent, and may have run
 	ReasonBodyConsumed      DecisionReason = "body-gone"         // the body can't be sent again
-	ReasonFinal             DecisionReason = "final"             // a node further down gave up
-	ReasonParentRetried     DecisionReason = "below-a-retry"     // a node further up is retrying
-	ReasonNoBenefit         DecisionReason = "no-better-later"   // no endpoint would answer otherwise
-	ReasonAttemptsExhausted DecisionReason = "attempts-used-up"  // the bound on attempts
+	ReasonFinal             DecisionReason = "final"             // a node further down the chain gave up
+	ReasonParentRetried     DecisionReason = "below-a-retry"     // a node further up the chain is retrying
+	ReasonNoBenefit         DecisionReason = "no-better-later"   // another attempt would be refused as well
+	ReasonAttemptsExhausted DecisionReason = "attempts-used-up"  // the limit on attempts is reached
 	ReasonDeadlineTooNear   DecisionReason = "deadline-too-near" // no time for another attempt
-	ReasonBudgetExhausted   DecisionReason = "budget-empty"      // too many retries as it is
+	ReasonBudgetExhausted   DecisionReason = "budget-empty"      // the retry budget is spent
 )
 
-// Decision is what to do next. When Retry is false the caller gets its answer
-// at once.
+// Decision is the outcome of Policy.Decide. When Retry is false the caller is
+// answered at once.
 type Decision struct {
 	Retry   bool
-	Backoff time.Duration // how long to wait before the next attempt
+	Backoff time.Duration // delay before the next attempt
 	Reason  DecisionReason
-	// RetryAfter is what to tell the client in Retry-After; zero when coming
-	// back would not help or might run the call twice.
+	// RetryAfter is the delay for the Retry-After header; zero when a retry by
+	// the client would not help or might run the call twice.
 	RetryAfter time.Duration
 }
 
-// SetFloor replaces what the budget may spend whatever the calls: perSecond
-// retries a second, of which it may save up to burst.
+// SetFloor sets the retries allowed regardless of calls to perSecond, which
+// accumulate up to burst.
 func (p *Policy) SetFloor(perSecond, burst float64) { p.budget.setFloor(perSecond, burst) }
 
-// RemainingRetries returns how many retries the budget has left at present.
-func (p *Policy) RemainingRetries() float64 { return p.budget.left() }
+// RemainingRetries returns the present balance of the budget in retries.
+func (p *Policy) RemainingRetries() float64 { return p.budget.remaining() }
 
-// RecordCall counts a call. It fills the budget, so it must be told once for each
-// call that comes in, and not for retries.
+// RecordCall adds a call's part to the budget. It must be called once for each
+// call received, and not for retries.
 func (p *Policy) RecordCall() { p.budget.deposit() }
 
-// Decide decides whether the call is sent again.
+// Decide decides whether the call is retried, and charges the budget if so.
 func (p *Policy) Decide(in Input) Decision {
-	if why, stop := p.stops(in); stop {
-		return p.giveUp(in, why)
+	if reason, stop := p.checkRules(in); stop {
+		return p.giveUp(in, reason)
 	}
-	after := p.wait(in)
-	if in.Remaining-after < minRemaining {
+	delay := p.backoff(in)
+	if in.Remaining-delay < minRemaining {
 		return p.giveUp(in, ReasonDeadlineTooNear)
 	}
-	if !p.budget.withdraw(in.Now, p.price(in)) {
+	if !p.budget.withdraw(in.Now, p.cost(in)) {
 		return p.giveUp(in, ReasonBudgetExhausted)
 	}
-	why := ReasonOtherEndpoint
+	reason := ReasonOtherEndpoint
 	if in.TriedAll {
-		why = ReasonSameEndpoints
+		reason = ReasonSameEndpoints
 	}
-	return Decision{Retry: true, Backoff: after, Reason: why}
+	return Decision{Retry: true, Backoff: delay, Reason: reason}
 }
 
-// stops holds the rules that don't depend on time or budget.
-func (p *Policy) stops(in Input) (DecisionReason, bool) {
+// checkRules applies the rules that don't depend on time or budget. It reports
+// whether one of them forbids a retry.
+func (p *Policy) checkRules(in Input) (DecisionReason, bool) {
 	switch in.Outcome {
 	case call.NotRun:
 	case call.Unknown:
@@ -187,99 +189,99 @@
 		return ReasonBodyConsumed, true
 	case in.Final:
 		return ReasonFinal, true
-	case in.ParentRetried && !p.mayRetryBelow(in):
+	case in.ParentRetried && !p.mayRetryNested(in):
 		return ReasonParentRetried, true
-	case in.Outcome == call.NotRun && !helps(in):
+	case in.Outcome == call.NotRun && !retryHelps(in):
 		return ReasonNoBenefit, true
-	case in.Attempt >= p.opt.MaxAttempts || in.MaxReached > 0 && in.Reached >= in.MaxReached:
+	case in.Attempt >= p.options.MaxAttempts || in.MaxReached > 0 && in.Reached >= in.MaxReached:
 		return ReasonAttemptsExhausted, true
 	}
 	return "", false
 }
 
-// mayRetryBelow allows one retry below another when the endpoint only takes no
-// calls. The node further up would not learn of it: it would get a server
-// error from its own backend server, which stands.
-func (p *Policy) mayRetryBelow(in Input) bool {
-	return in.Attempt <= 1 && p.price(in) == priceGone
+// mayRetryNested allows one retry of a nested call when the endpoint takes no
+// calls. The node further up the chain cannot make up for it: it would receive
+// a server error from its own backend server, which it does not retry.
+func (p *Policy) mayRetryNested(in Input) bool {
+	return in.Attempt <= 1 && p.cost(in) == costNotAccepting
 }
 
-// helps reports whether a refusal may turn out otherwise at the next attempt.
-func helps(in Input) bool {
+// retryHelps reports whether the next attempt may succeed after this refusal.
+func retryHelps(in Input) bool {
 	if in.Refusal == nil {
 		return true
 	}
 	switch kindOf(in.Refusal.Reason) {
-	case kindGone:
+	case kindNotAccepting:
 		return true
-	case kindFull:
-		return !in.TriedAll && (in.OneShot || in.Attempt < maxFull && !in.Overdue)
-	case kindRate:
+	case kindNoCapacity:
+		return !in.TriedAll && (in.OneShot || in.Attempt < maxFullEndpoints && !in.Overdue)
+	case kindRateLimited:
 		return !in.TriedAll
 	}
 	return false
 }
 
-// maxFull is how many endpoints without room a call is offered to while it can be in
-// time. With two, fewer calls were in time where others had room; with five, refusals
-// took more bytes and no more calls were in time (docs/deciding.md).
-const maxFull = 3
+// maxFullEndpoints is how many endpoints without capacity a call is offered to while
+// it can meet its latency target. With two, fewer calls met it where other endpoints
+// had capacity; with five, refusals took more bytes and no more calls met it
+// (docs/deciding.md).
+const maxFullEndpoints = 3
 
-// kind sorts refusals by what a retry does to the endpoints.
-type kind int
+// refusalKind groups refusals by what a retry can achieve.
+type refusalKind int
 
 const (
-	kindCall kind = iota // lies with the call or the whole mesh
-	kindGone             // this endpoint does not take the call; others do
-	kindFull             // this endpoint has no room; the others may be short too
-	kindRate             // this endpoint's part of the class's rate is used up
+	kindEverywhere   refusalKind = iota // due to the call itself or the whole mesh
+	kindNotAccepting                    // this endpoint does not take the call; others may
+	kindNoCapacity                      // this endpoint has no capacity; others may lack it too
+	kindRateLimited                     // the class has used up its rate at this endpoint
 )
 
-func kindOf(r call.Reason) kind {
+func kindOf(r call.Reason) refusalKind {
 	switch r {
 	case call.ReasonDraining, call.ReasonNotHeld, call.ReasonNotReady, call.ReasonUnreachable, call.ReasonPinned:
-		return kindGone
+		return kindNotAccepting
 	case call.ReasonBusy, call.ReasonOverloaded, call.ReasonLinkFull, call.ReasonOverShare, call.ReasonBackend:
-		return kindFull
+		return kindNoCapacity
 	case call.ReasonOverRate:
-		return kindRate
+		return kindRateLimited
 	}
-	return kindCall
+	return kindEverywhere
 }
 
-// price is what a retry costs the budget. A refusal by an endpoint that is
-// leaving cost no backend server anything, and a herd of leavers must not use
-// up the budget and so fail calls that others would run. One as over the rate
-// cost nothing either, and a class far over its rate makes many; they are
-// cheaper still, so that they leave some of what the calls pay in.
-func (p *Policy) price(in Input) int64 {
-	if p.opt.ChargeReachedOnly {
+// cost returns what a retry is charged. A refusal by a leaving endpoint costs no
+// backend server any work, and many endpoints leaving at once must not exhaust
+// the budget and fail calls that others would run. A refusal over the rate costs
+// no work either, and a class far over its rate causes many; such retries are
+// cheaper still, so that they use up only part of what calls deposit.
+func (p *Policy) cost(in Input) int64 {
+	if p.options.ChargeReachedOnly {
 		if in.Reached > 0 {
-			return priceWhole
+			return wholeRetry
 		}
-		return priceRate
+		return costRateLimited
 	}
 	if in.Outcome != call.NotRun || in.Refusal == nil {
-		return priceWhole
+		return wholeRetry
 	}
 	switch kindOf(in.Refusal.Reason) {
-	case kindGone:
-		return priceGone
-	case kindRate:
-		return priceRate
+	case kindNotAccepting:
+		return costNotAccepting
+	case kindRateLimited:
+		return costRateLimited
 	}
-	return priceWhole
+	return wholeRetry
 }
 
-// wait returns the full-jitter backoff: a random time up to a bound that
-// doubles. The first retry at another endpoint that has nothing to do with
-// load goes at once.
-func (p *Policy) wait(in Input) time.Duration {
-	if in.Attempt <= 1 && !in.TriedAll && p.price(in) < priceWhole {
+// backoff returns an exponential backoff with full jitter. The first retry at
+// another endpoint is sent at once if the refusal had nothing to do with load.
+func (p *Policy) backoff(in Input) time.Duration {
+	if in.Attempt <= 1 && !in.TriedAll && p.cost(in) < wholeRetry {
 		return 0
 	}
-	bound := p.opt.Backoff << min(max(in.Attempt-1, 0), 10)
-	bound = min(bound, p.opt.BackoffMax, max(in.Remaining, 0)/waitShare)
+	bound := p.options.Backoff << min(max(in.Attempt-1, 0), 10)
+	bound = min(bound, p.options.BackoffMax, max(in.Remaining, 0)/backoffDivisor)
 	return p.jitter(bound)
 }
 
@@ -288,27 +290,27 @@
 	if bound <= 0 {
 		return 0
 	}
-	return time.Duration(p.opt.Rand.Uint64() % uint64(bound+1))
+	return time.Duration(p.options.Rand.Uint64() % uint64(bound+1))
 }
 
-func (p *Policy) giveUp(in Input, why DecisionReason) Decision {
-	return Decision{Reason: why, RetryAfter: p.comeBack(in, why)}
+func (p *Policy) giveUp(in Input, reason DecisionReason) Decision {
+	return Decision{Reason: reason, RetryAfter: p.retryAfter(in, reason)}
 }
 
-// comeBack returns what a client is told. It is jittered, so that clients
-// refused together don't come back together, and grows as the budget empties,
-// which is the sign that many are refused.
-func (p *Policy) comeBack(in Input, why DecisionReason) time.Duration {
-	if in.Outcome != call.NotRun && !in.Idempotent || why == ReasonRan {
+// retryAfter returns the delay for the Retry-After header. It is jittered, so
+// that clients refused together don't retry together, and grows as the budget
+// is spent, which shows that many calls are refused.
+func (p *Policy) retryAfter(in Input, reason DecisionReason) time.Duration {
+	if in.Outcome != call.NotRun && !in.Idempotent || reason == ReasonRan {
 		return 0
 	}
-	least := p.opt.RetryAfterMin
+	minimum := p.options.RetryAfterMin
 	if in.Refusal != nil {
-		if in.Refusal.RetryAfter == 0 && kindOf(in.Refusal.Reason) == kindCall {
+		if in.Refusal.RetryAfter == 0 && kindOf(in.Refusal.Reason) == kindEverywhere {
 			return 0
 		}
-		least = max(least, in.Refusal.RetryAfter)
+		minimum = max(minimum, in.Refusal.RetryAfter)
 	}
-	spread := time.Duration(p.budget.emptiness() * float64(p.opt.RetryAfterMax-p.opt.RetryAfterMin))
-	return least + p.jitter(max(spread, p.opt.RetryAfterMin))
+	spread := time.Duration(p.budget.spentFraction() * float64(p.options.RetryAfterMax-p.options.RetryAfterMin))
+	return minimum + p.jitter(max(spread, p.options.RetryAfterMin))
 }
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// seeded is a source that many policies may share.
+// seeded is a seeded random source that is safe for concurrent use.
 type seeded struct {
 	mu  sync.Mutex
 	pcg *rand.PCG
@@ -32,7 +32,7 @@
 
 func refusal(r call.Reason) *call.Refusal { return &call.Refusal{Reason: r} }
 
-// input is a first attempt that was refused because the endpoint drains.
+// input returns a first attempt refused by a draining endpoint, after change.
 func input(change func(*Input)) Input {
 	in := Input{
 		Now: start, Outcome: call.NotRun, Attempt: 1, Remaining: time.Second,
@@ -55,9 +55,9 @@
 		{"overloaded everywhere", func(in *Input) { in.Refusal, in.TriedAll = refusal(call.ReasonOverloaded), true }, ReasonNoBenefit, false},
 		{"over its rate here", func(in *Input) { in.Refusal = refusal(call.ReasonOverRate) }, ReasonOtherEndpoint, true},
 		{"over its rate everywhere", func(in *Input) { in.Refusal, in.TriedAll = refusal(call.ReasonOverRate), true }, ReasonNoBenefit, false},
-		{"a suspect pinned elsewhere", func(in *Input) { in.Refusal = refusal(call.ReasonPinned) }, ReasonOtherEndpoint, true},
-		{"a suspect held back", func(in *Input) { in.Refusal = refusal(call.ReasonHeldBack) }, ReasonNoBenefit, false},
-		{"below a retry, over its rate", func(in *Input) { in.ParentRetried, in.Refusal = true, refusal(call.ReasonOverRate) }, ReasonParentRetried, false},
+		{"suspect request pinned elsewhere", func(in *Input) { in.Refusal = refusal(call.ReasonPinned) }, ReasonOtherEndpoint, true},
+		{"suspect request held back", func(in *Input) { in.Refusal = refusal(call.ReasonHeldBack) }, ReasonNoBenefit, false},
+		{"parent retried, over its rate", func(in *Input) { in.ParentRetried, in.Refusal = true, refusal(call.ReasonOverRate) }, ReasonParentRetried, false},
 		{"quarantined", func(in *Input) { in.Refusal = refusal(call.ReasonQuarantined) }, ReasonNoBenefit, false},
 		{"no endpoint", func(in *Input) { in.Refusal = refusal(call.ReasonNoEndpoint) }, ReasonNoBenefit, false},
 		{"deadline passed in a queue", func(in *Input) { in.Refusal = refusal(call.ReasonExpired) }, ReasonNoBenefit, false},
@@ -65,12 +65,12 @@
 		{"may have run, idempotent", func(in *Input) { in.Outcome, in.Refusal, in.Idempotent = call.Unknown, nil, true }, ReasonOtherEndpoint, true},
 		{"ran", func(in *Input) { in.Outcome, in.Refusal, in.Idempotent = call.Ran, nil, true }, ReasonRan, false},
 		{"no outcome", func(in *Input) { in.Outcome, in.Idempotent = 0, true }, ReasonRan, false},
-		{"body gone", func(in *Input) { in.BodyReplayable = false }, ReasonBodyConsumed, false},
-		{"a node further down gave up", func(in *Input) { in.Final = true }, ReasonFinal, false},
-		{"below a retry, overloaded", func(in *Input) { in.ParentRetried, in.Refusal = true, refusal(call.ReasonOverloaded) }, ReasonParentRetried, false},
-		{"below a retry, draining", func(in *Input) { in.ParentRetried = true }, ReasonOtherEndpoint, true},
-		{"below a retry, draining twice", func(in *Input) { in.ParentRetried, in.Attempt = true, 2 }, ReasonParentRetried, false},
-		{"attempts used up", func(in *Input) { in.Attempt = DefaultMaxAttempts }, ReasonAttemptsExhausted, false},
+		{"body consumed", func(in *Input) { in.BodyReplayable = false }, ReasonBodyConsumed, false},
+		{"answer marked final", func(in *Input) { in.Final = true }, ReasonFinal, false},
+		{"parent retried, overloaded", func(in *Input) { in.ParentRetried, in.Refusal = true, refusal(call.ReasonOverloaded) }, ReasonParentRetried, false},
+		{"parent retried, draining", func(in *Input) { in.ParentRetried = true }, ReasonOtherEndpoint, true},
+		{"parent retried, draining twice", func(in *Input) { in.ParentRetried, in.Attempt = true, 2 }, ReasonParentRetried, false},
+		{"attempts exhausted", func(in *Input) { in.Attempt = DefaultMaxAttempts }, ReasonAttemptsExhausted, false},
 		{"no time left", func(in *Input) { in.Remaining = time.Millisecond }, ReasonDeadlineTooNear, false},
 	}
 	for _, c := range cases {
@@ -80,34 +80,34 @@
 				t.Errorf("got %+v", d)
 			}
 			if d.Retry && d.RetryAfter != 0 || !d.Retry && d.Backoff != 0 {
-				t.Errorf("both a retry and a final answer: %+v", d)
+				t.Errorf("a retry with RetryAfter, or an answer with a backoff: %+v", d)
 			}
 		})
 	}
 }
 
-// A client is told to come back, and its second booking is made as well. The
-// call may have run, so nothing may invite the client to send it again.
-func TestComeBackOnlyWhenHarmless(t *testing.T) {
+// Guards against a booking made twice: a client must get no Retry-After for a call
+// that may have run.
+func TestRetryAfterOnlyWhenResendIsSafe(t *testing.T) {
 	p := New(Options{Rand: newSeeded(1)})
 	d := p.Decide(input(func(in *Input) { in.Outcome, in.Refusal = call.Unknown, nil }))
 	if d.RetryAfter != 0 {
-		t.Errorf("a call that may have run is told to come back in %v", d.RetryAfter)
+		t.Errorf("a call that may have run has RetryAfter %v", d.RetryAfter)
 	}
 	d = p.Decide(input(func(in *Input) { in.Attempt = DefaultMaxAttempts }))
 	if d.RetryAfter < DefaultRetryAfterMin {
-		t.Errorf("a refused call is told to come back in %v", d.RetryAfter)
+		t.Errorf("a refused call has RetryAfter %v, below the minimum", d.RetryAfter)
 	}
 	long := &call.Refusal{Reason: call.ReasonQuarantined, RetryAfter: time.Minute}
 	d = p.Decide(input(func(in *Input) { in.Refusal = long }))
 	if d.RetryAfter < time.Minute {
-		t.Errorf("told to come back in %v, before the refusal ends", d.RetryAfter)
+		t.Errorf("RetryAfter %v ends before the refusal does", d.RetryAfter)
 	}
 }
 
-// Users wait until their deadline for an answer that was known long before. A
-// wait before a retry may only take a small part of the time left.
-func TestWaitIsShort(t *testing.T) {
+// Guards against callers that wait until their deadline for a failure known long
+// before: a backoff takes only a small part of the remaining time.
+func TestBackoffIsSmallPartOfRemainingTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(Options{Rand: newSeeded(rapid.Uint64().Draw(t, "seed"))})
 		in := input(func(in *Input) {
@@ -116,15 +116,14 @@
 			in.Remaining = time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "remaining"))
 		})
 		d := p.Decide(in)
-		if d.Backoff > in.Remaining/waitShare || d.Backoff > DefaultBackoffMax {
-			t.Fatalf("waits %v of %v", d.Backoff, in.Remaining)
+		if d.Backoff > in.Remaining/backoffDivisor || d.Backoff > DefaultBackoffMax {
+			t.Fatalf("backoff %v with %v remaining", d.Backoff, in.Remaining)
 		}
 	})
 }
 
-// A family is charged twice for one launch. The first attempt ran and its
-// answer was lost; a retry ran it again. Whatever order of failures comes, a
-// call that is not idempotent runs at most once.
+// Guards against a booking made twice when the answer to the first attempt is lost:
+// a call that is not idempotent runs at most once, whatever the order of failures.
 func TestNonIdempotentRunsAtMostOnce(t *testing.T) {
 	reasons := []call.Reason{call.ReasonDraining, call.ReasonOverloaded, call.ReasonUnreachable, call.ReasonNotHeld, call.ReasonBackend}
 	rapid.Check(t, func(t *rapid.T) {
@@ -132,8 +131,8 @@
 		runs, now := 0, start
 		for attempt := 1; ; attempt++ {
 			in := input(func(in *Input) { in.Now, in.Attempt = now, attempt })
-			// What happens, and what is known of it. A run whose answer is
-			// lost and a request lost on its way look the same.
+			// A lost answer and a lost request have the same outcome for the
+			// entry node.
 			switch rapid.IntRange(0, 3).Draw(t, "fate") {
 			case 0:
 				in.Refusal = refusal(rapid.SampledFrom(reasons).Draw(t, "reason"))
@@ -164,31 +163,31 @@
 	b.init(BudgetOptions{})
 	spend := func(now time.Time) int {
 		n := 0
-		for b.withdraw(now, priceWhole) {
+		for b.withdraw(now, wholeRetry) {
 			n++
 		}
 		return n
 	}
 	if n := spend(start); n != floorBurst {
-		t.Errorf("a fresh budget allows %d retries", n)
+		t.Errorf("a new budget allows %d retries, want 3", n)
 	}
 	for range 50 {
 		b.deposit()
 	}
 	if n := spend(start); n != 5 {
-		t.Errorf("50 calls allow %d retries", n)
+		t.Errorf("50 calls allow %d retries, want 5", n)
 	}
 	for range 10_000 {
 		b.deposit()
 	}
 	if n := spend(start); n != DefaultBurst {
-		t.Errorf("a long time of calls allows %d retries at once", n)
+		t.Errorf("10,000 calls allow %d retries at once, want 10", n)
 	}
 	if n := spend(start.Add(time.Hour)); n != floorBurst {
-		t.Errorf("an hour without calls allows %d retries", n)
+		t.Errorf("an hour without calls allows %d retries, want 3", n)
 	}
 	if n := spend(start.Add(time.Hour + 10*time.Second)); n != 1 {
-		t.Errorf("ten seconds allow %d retries", n)
+		t.Errorf("ten seconds allow %d retries, want 1", n)
 	}
 }
 
@@ -202,11 +201,10 @@
 	}
 }
 
-// A node is replaced, and its neighbours refuse what it held before a backend
-// server got it. Those tries are no load on anyone and must not use up what the
-// mesh may repeat; tries that a backend server got must, and end at the class's
-// bound.
-func TestOnlyReachedAttemptsDrawOnTheBudget(t *testing.T) {
+// Guards the budget during a node's replacement, when many attempts are refused before
+// they reach a backend server: these cost little, while attempts that reached one are
+// charged in full and end at the class's limit.
+func TestOnlyReachedAttemptsAreCharged(t *testing.T) {
 	p := New(Options{Rand: newSeeded(1), ChargeReachedOnly: true, MaxAttempts: 6, Budget: BudgetOptions{Ratio: 0.1, Burst: 4}})
 	p.SetFloor(0, 2)
 	for i := range 100 {
@@ -221,10 +219,10 @@
 		spent++
 	}
 	if spent == 0 || spent > 4 {
-		t.Errorf("%d retries from a budget of 4", spent)
+		t.Errorf("%d retries from a budget of 4 retries", spent)
 	}
 	d := New(Options{Rand: newSeeded(1), ChargeReachedOnly: true}).Decide(input(func(in *Input) { in.Reached, in.MaxReached = 2, 2 }))
 	if d.Retry || d.Reason != ReasonAttemptsExhausted {
-		t.Errorf("a third backend server where two are allowed: %+v", d)
+		t.Errorf("a third attempt at a backend server where two are allowed: %+v", d)
 	}
 }
