--- a/internal/limit/adaptive.go
+++ b/internal/limit/adaptive.go
@@ -2,77 +2,76 @@
 
 import "time"
 
-// adaptive lowers the limit on running calls under the announced slots when the
-// backend server shows that it runs fewer at once, and raises it again.
+// adaptiveLimit is a concurrency limit. It falls below the announced slots when
+// the backend server turns out to run fewer calls at once, and rises again.
 //
-// It compares the service time of calls that started while the backend server
-// was full with that of calls that started while it was at most a quarter full. Both
-// are means, so widely spread service times don't look like a slow backend
-// server; and a backend server that is slow at any load raises both, so the
-// limit does not fall for nothing.
-type adaptive struct {
-	slots   int
-	current float64
-	excess  average // of full service time over light service time, in ppm
-	full    int     // calls that started at the limit in this window
-	shed    int
+// It compares the service time of calls that started at the limit with that of
+// calls that started under light load. Both are means, so that widely spread
+// service times don't look like a slow backend server. A backend server that is
+// slow at any load raises both, so that the limit does not fall without effect.
+type adaptiveLimit struct {
+	slots          int
+	current        float64
+	slowdown       average // service time at the limit over mean service time under light load, in ppm
+	samplesAtLimit int     // calls that started at the limit, in this window
+	shedCalls      int     // calls that the backend server refused, in this window
 }
 
 const (
-	slowRatio     = 1.5 // above it the backend server is running too many
-	steadyRatio   = 1.25
-	limitDecrease = 0.85
-	shedDecrease  = 0.8
-	limitIncrease = 0.5
-	minLight      = 10 // samples of light load that a comparison needs
-	minFull       = 5  // samples at the limit that a decision needs
-	ratioScale    = 1e6
+	slowRatio         = 1.5  // slowdown above which the limit falls
+	steadyRatio       = 1.25 // slowdown below which the limit rises
+	limitDecrease     = 0.85
+	shedDecrease      = 0.8
+	limitIncrease     = 0.5 // slots per window
+	minLightSamples   = 10  // samples under light load before they are compared
+	minSamplesAtLimit = 5   // samples at the limit before it is lowered
+	ratioScale        = 1e6
 )
 
-// setSlots reports whether the number differs from the last one.
-func (a *adaptive) setSlots(slots int) bool {
+// setSlots sets the announced slots and reports whether they have changed.
+func (a *adaptiveLimit) setSlots(slots int) bool {
 	if slots == a.slots {
 		return false
 	}
 	a.slots = slots
 	a.current = float64(slots)
-	a.excess = average{}
+	a.slowdown = average{}
 	return true
 }
 
-func (a *adaptive) limit() int {
+func (a *adaptiveLimit) limit() int {
 	return min(max(int(a.current+shareRounding), 1), a.slots)
 }
 
-// lightLoad is the most calls that may run for a sample to count as light. It is
-// low, so that a backend server with far fewer slots than it announces is
-// still measured below its true number.
-func (a *adaptive) lightLoad() int { return max(1, a.slots/4) }
+// lightLoad returns how many calls may run for a sample to count as light load. A
+// quarter is low enough to stay below the real number of slots of a backend
+// server that announces far too many.
+func (a *adaptiveLimit) lightLoad() int { return max(1, a.slots/4) }
 
-func (a *adaptive) observe(c *classState, busy int, latency time.Duration) {
-	light := &c.light
+func (a *adaptiveLimit) observe(c *classState, busy int, latency time.Duration) {
+	light := &c.lightServiceTime
 	if busy <= a.lightLoad() {
 		light.add(latency)
 	}
-	if busy < a.limit() || light.count < minLight || light.value <= 0 {
+	if busy < a.limit() || light.count < minLightSamples || light.value <= 0 {
 		return
 	}
-	a.full++
-	a.excess.add(time.Duration(ratioScale * float64(latency) / light.value))
+	a.samplesAtLimit++
+	a.slowdown.add(time.Duration(ratioScale * float64(latency) / light.value))
 }
 
-// turn ends a window.
-func (a *adaptive) turn() {
-	ratio := a.excess.value / ratioScale
+// endWindow adjusts the limit at the end of a control window.
+func (a *adaptiveLimit) endWindow() {
+	ratio := a.slowdown.value / ratioScale
 	switch {
-	case a.shed > 0:
+	case a.shedCalls > 0:
 		a.current = max(1, a.current*shedDecrease)
-	case a.full >= minFull && ratio > slowRatio:
+	case a.samplesAtLimit >= minSamplesAtLimit && ratio > slowRatio:
 		a.current = max(1, a.current*limitDecrease)
-		// What was measured belongs to the old limit.
-		a.excess = average{}
-	case a.full < minFull || ratio < steadyRatio:
+		// The samples were taken at the old limit.
+		a.slowdown = average{}
+	case a.samplesAtLimit < minSamplesAtLimit || ratio < steadyRatio:
 		a.current = min(float64(a.slots), a.current+limitIncrease)
 	}
-	a.full, a.shed = 0, 0
+	a.samplesAtLimit, a.shedCalls = 0, 0
 }
--- a/internal/limit/admit.go
+++ b/internal/limit/admit.go
@@ -7,171 +7,177 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// Bounds on RetryAfter.
+// Bounds on the RetryAfter of a refusal.
 const (
 	minRetryAfter = 10 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
 )
 
-// admit decides whether e may wait; nil means yes.
+// admit decides whether e may wait, and refuses a waiting call if e takes its
+// place. It returns nil if e may wait.
 func (q *Queue) admit(now time.Time, e *Entry) *call.Refusal {
 	c := e.class
 	if e.OneShot {
-		return q.admitOnce(now, e)
+		return q.admitOneShot(now, e)
 	}
 	if e.overdue {
-		if !q.worthPuttingOff(now, e) || q.waiting >= q.cfg.MaxWaiting {
-			if q.takePlace(now, e, &c.overdue) {
+		if !q.overdueSlotLikely(now, e) || q.waiting >= q.cfg.MaxWaiting {
+			if q.displace(now, e, &c.overdue) {
 				return nil
 			}
-			return q.refuse(now, c, q.overReason(c), "no slot is left over")
+			return q.refuse(now, c, q.overloadReason(c), "no slot is left over")
 		}
 		return nil
 	}
-	if wait := q.predictWait(c); !q.options.NoPrediction && !q.worthWaiting(now, e, wait) {
-		if q.worthWaiting(now, e, 0) && q.takePlace(now, e, &c.waiting) {
+	if wait := q.predictWait(c); !q.options.NoPrediction && !q.canMeetTarget(now, e, wait) {
+		if q.canMeetTarget(now, e, 0) && q.displace(now, e, &c.onTime) {
 			return nil
 		}
-		return q.refuse(now, c, q.overReason(c), "the wait would be too long")
+		return q.refuse(now, c, q.overloadReason(c), "the wait would be too long")
 	}
 	if q.waiting < q.cfg.MaxWaiting {
 		return nil
 	}
-	if last := q.lastOverdue(); last != nil {
-		q.refuseWaiting(now, last, q.overReason(last.class), "gave way to a call that can be in time")
+	if victim := q.overdueVictim(); victim != nil {
+		q.refuseWaiting(now, victim, q.overloadReason(victim.class), "gave way to a call that can meet its latency target")
 		return nil
 	}
-	victim := q.givesWay(e)
+	victim := q.victimFor(e)
 	if victim == e {
-		return q.refuse(now, c, q.overReason(c), "the queue is full")
+		return q.refuse(now, c, q.overloadReason(c), "the queue is full")
 	}
 	detail := "gave way to another class"
 	if victim.class == c {
 		detail = "gave way to another workspace"
 	}
-	q.refuseWaiting(now, victim, q.overReason(victim.class), detail)
+	q.refuseWaiting(now, victim, q.overloadReason(victim.class), detail)
 	return nil
 }
 
-// takePlace refuses a call that waits in e's lane and gives way to e, if there is one.
-func (q *Queue) takePlace(now time.Time, e *Entry, lane *list.List) bool {
-	victim := e.class.least(lane)
+// displace refuses a call in lane that yields to e, and reports whether there was one.
+func (q *Queue) displace(now time.Time, e *Entry, lane *list.List) bool {
+	victim := e.class.firstToYield(lane)
 	if victim == nil || q.options.NoYielding || !yields(victim, e) {
 		return false
 	}
-	q.refuseWaiting(now, victim, q.overReason(victim.class), "gave way to another workspace")
+	q.refuseWaiting(now, victim, q.overloadReason(victim.class), "gave way to another workspace")
 	return true
 }
 
-// admitOnce decides whether a call may wait whose caller doesn't come back: as long as
-// it may still be answered by its deadline, since a refusal is the end of it.
-func (q *Queue) admitOnce(now time.Time, e *Entry) *call.Refusal {
+// admitOneShot decides whether a one-shot call may wait. Since its caller does not
+// retry, it may wait while it can be answered by its deadline.
+func (q *Queue) admitOneShot(now time.Time, e *Entry) *call.Refusal {
 	c := e.class
-	wait := time.Duration(c.once.Len()+1) * c.onceGrants.every.duration()
-	late := !e.deadline.IsZero() && now.Add(wait+c.service.duration()).After(e.deadline)
-	if c.once.Len() > 0 && late && !q.options.NoPrediction {
-		return q.refuse(now, c, q.overReason(c), "the wait would be longer than its time")
+	wait := time.Duration(c.oneShot.Len()+1) * c.oneShotStarts.interval.duration()
+	late := !e.deadline.IsZero() && now.Add(wait+c.serviceTime.duration()).After(e.deadline)
+	if c.oneShot.Len() > 0 && late && !q.options.NoPrediction {
+		return q.refuse(now, c, q.overloadReason(c), "the wait would be longer than its time")
 	}
 	if q.waiting < q.cfg.MaxWaiting {
 		return nil
 	}
-	if last := q.lastOverdue(); last != nil {
-		q.refuseWaiting(now, last, q.overReason(last.class), "gave way to a call that is not sent again")
+	if victim := q.overdueVictim(); victim != nil {
+		q.refuseWaiting(now, victim, q.overloadReason(victim.class), "gave way to a call that its caller does not retry")
 		return nil
 	}
-	return q.refuse(now, c, q.overReason(c), "the queue is full")
+	return q.refuse(now, c, q.overloadReason(c), "the queue is full")
 }
 
-// worthWaiting reports whether a call that starts after wait is expected to end
-// within its deadline and its class's target. The first in a class's queue may
-// always wait, because a class that is always refused would never be measured
-// again and a wrong estimate would lock it out.
-func (q *Queue) worthWaiting(now time.Time, e *Entry, wait time.Duration) bool {
+// canMeetTarget reports whether a call that starts after wait is expected to end
+// within its deadline and its class's latency target. The first call of a class
+// may always wait: if all were refused, a wrong estimate would never be corrected
+// and would lock the class out.
+func (q *Queue) canMeetTarget(now time.Time, e *Entry, wait time.Duration) bool {
 	c := e.class
-	if c.waiting.Len() == 0 {
+	if c.onTime.Len() == 0 {
 		return true
 	}
-	end := wait + c.service.duration()
+	end := wait + c.serviceTime.duration()
 	if !e.deadline.IsZero() && now.Add(end).After(e.deadline) {
 		return false
 	}
-	if c.misses() {
-		return true // newest first: it is next
+	if c.missesTarget() {
+		return true // the newest call is the next to start
 	}
 	budget := c.waitBudget()
 	return budget <= 0 || now.Sub(e.FirstAttempt)+wait <= budget
 }
 
-// minGrants is how many intervals between starts a prediction needs.
-const minGrants = 4
+// minStartIntervals is how many intervals between starts a prediction needs.
+const minStartIntervals = 4
 
-// predictWait estimates how long a newcomer of c waits: by the class's own
-// drain rate where it is known, else by all the work that waits.
+// predictWait estimates how long a new call of c waits: by the drain rate of the
+// class where it is known, otherwise by the total waiting work.
 func (q *Queue) predictWait(c *classState) time.Duration {
-	ahead := c.waiting.Len() + 1
-	if c.grants.every.count >= minGrants && c.waiting.Len() > 0 {
-		return time.Duration(ahead) * c.grants.every.duration()
+	ahead := c.onTime.Len() + 1
+	if c.onTimeStarts.interval.count >= minStartIntervals && c.onTime.Len() > 0 {
+		return time.Duration(ahead) * c.onTimeStarts.interval.duration()
 	}
 	var work time.Duration
-	for _, o := range q.ordered {
-		work += time.Duration(o.waiting.Len()) * o.service.duration()
+	for _, other := range q.ordered {
+		work += time.Duration(other.onTime.Len()) * other.serviceTime.duration()
 	}
 	return work / time.Duration(q.Limit())
 }
 
-// givesWay returns the call that is refused when the queue is full: of the class
-// furthest inside its target, then of the lowest priority. The newcomer takes part.
-func (q *Queue) givesWay(newcomer *Entry) *Entry {
+// victimFor returns the call to refuse when the queue is full, which may be the
+// newcomer: a call of the class furthest within its latency target, then one of
+// the lowest priority.
+func (q *Queue) victimFor(newcomer *Entry) *Entry {
 	victim := newcomer
 	if q.options.NoYielding {
 		return victim
 	}
 	for _, c := range q.ordered {
-		if least := c.least(&c.waiting); least != nil && yields(least, victim) {
-			victim = least
+		if candidate := c.firstToYield(&c.onTime); candidate != nil && yields(candidate, victim) {
+			victim = candidate
 		}
 	}
 	return victim
 }
 
-// standingBand is how far apart two standings must be to count as different, so
-// that priority decides between classes that stand about equally.
+// Bands of the latency ratio. Classes in the same band count as equally far from
+// their latency targets, and priority decides between them.
 const (
-	standingBand = 0.25
-	lastBand     = 3
+	latencyBandWidth   = 0.25
+	highestLatencyBand = 3
 )
 
-func givesWayBefore(a, b *classState) bool {
-	if a.band() != b.band() {
-		return a.band() < b.band()
+// yieldsBefore reports whether a yields slots before b does.
+func yieldsBefore(a, b *classState) bool {
+	if a.latencyBand() != b.latencyBand() {
+		return a.latencyBand() < b.latencyBand()
 	}
 	return a.Priority < b.Priority
 }
 
-// band is the class's standing in steps. Classes near their target or beyond
-// it, and those that refuse calls, share the last band: their queues are cut to
-// what can still be met, so under lasting overload they all stand close to one,
-// and what is left of the difference is noise.
-func (c *classState) band() int {
-	if c.misses() {
-		return lastBand
+// latencyBand returns the band of the class's latency ratio. Classes close to
+// their latency target or beyond it, and those that refuse calls, share the
+// highest band: under lasting overload their queues are cut to calls that can
+// meet the target, so their ratios are all close to one and differ by noise only.
+func (c *classState) latencyBand() int {
+	if c.missesTarget() {
+		return highestLatencyBand
 	}
-	return min(int(c.standing()/standingBand), lastBand)
+	return min(int(c.latencyRatio()/latencyBandWidth), highestLatencyBand)
 }
 
-func (q *Queue) overReason(c *classState) call.Reason {
+// overloadReason returns the reason to refuse a call of c under overload.
+func (q *Queue) overloadReason(c *classState) call.Reason {
 	if c.Share > 0 && c.overShare(q.Limit()) {
 		return call.ReasonOverShare
 	}
 	return call.ReasonOverloaded
 }
 
+// refuseWaiting removes a waiting call and refuses it by an Event.
 func (q *Queue) refuseWaiting(now time.Time, e *Entry, reason call.Reason, detail string) {
-	q.remove(e)
+	q.dequeue(e)
 	e.class.rate.GiveBack(now)
 	q.events = append(q.events, Event{Entry: e, Refusal: q.refuse(now, e.class, reason, detail)})
 }
 
+// refuse counts a refusal and returns it.
 func (q *Queue) refuse(now time.Time, c *classState, reason call.Reason, detail string) *call.Refusal {
 	r := &call.Refusal{Reason: reason, Detail: detail}
 	switch reason {
@@ -188,11 +194,11 @@
 	return r
 }
 
-// retryAfter is the time in which the queue drains at its present rate, spread
-// evenly over half to one and a half of it, so that the callers refused in one
-// burst don't come back in one.
+// retryAfter returns the time in which the queue drains at its present rate, with
+// a jitter of half to one and a half, so that callers refused in one burst don't
+// retry in one.
 func (q *Queue) retryAfter(c *classState) time.Duration {
-	drain := time.Duration(q.waiting+1) * q.doneEvery.duration()
+	drain := time.Duration(q.waiting+1) * q.completionInterval.duration()
 	drain = max(drain, q.predictWait(c))
 	spread := 0.5 + q.options.Rand.Float64()
 	d := time.Duration(float64(drain) * spread)
--- a/internal/limit/config.go
+++ b/internal/limit/config.go
@@ -1,16 +1,15 @@
-// Package limit decides, at the destination node, which calls a backend server
-// runs now, which wait and which are refused.
+// Package limit implements admission control at the destination node: it decides
+// which calls a backend server runs now, which wait and which are refused.
 //
-// There is one Gate for each backend server. It holds a limit on the calls that
-// run at once, which starts at the slots that the backend server announces and
-// falls when the backend server proves slower under load than when nearly idle.
-// Each class of work has a queue of its own, bounded in number and by the wait
-// that is predicted for a newcomer. A class that holds its share of the slots
-// gives way to the others as slots become free; no running call is ever stopped
-// for another. Work whose deadline has passed is refused before it runs.
+// There is one Gate for each backend server. Its concurrency limit starts at the
+// slots that the backend server announces, and falls when the backend server is
+// slower under load than when nearly idle. Each class of work has its own queue,
+// bounded in length and by the wait predicted for a new call. A class that holds
+// its share of the slots yields to the others as slots become free; running calls
+// are not preempted. A call whose deadline has passed is refused before it runs.
 //
-// Queue makes the decisions. It takes no lock, starts no goroutine and is told
-// the time. Gate adds the lock and the waiting.
+// Queue makes the decisions. It takes no lock, starts no goroutine and receives
+// the time as an argument. Gate adds the lock and the waiting.
 package limit
 
 import (
@@ -21,35 +20,34 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// Class is one class of work as a Gate knows it.
+// Class configures one class of work.
 type Class struct {
 	Name string
-	// Share is the part of the slots that the class may hold while other
-	// classes wait; zero means no bound.
+	// Share is the fraction of the slots that the class may hold while other
+	// classes wait; zero means no limit.
 	Share float64
-	// Priority is config.MinPriority (first to give way) to
-	// config.MaxPriority; zero means config.DefaultPriority.
+	// Priority is config.MinPriority (first to yield) to config.MaxPriority;
+	// zero means config.DefaultPriority.
 	Priority int
-	// AnswerWithin is the answer time aimed at; zero means none.
+	// AnswerWithin is the latency target; zero means none.
 	AnswerWithin time.Duration
-	// RatePerSecond bounds the calls of the class at this backend server;
-	// zero means no bound. RatePerBackend gives it from a bound on the whole mesh.
+	// RatePerSecond limits the calls of the class at this backend server; zero
+	// means no limit. RatePerBackend derives it from a limit on the whole mesh.
 	RatePerSecond float64
 }
 
-// Config is what a Gate is told of its backend server and of the classes that
-// call it.
+// Config configures a Gate for its backend server.
 type Config struct {
-	// Slots is how many calls the backend server says that it runs at once.
+	// Slots is the number of concurrent calls that the backend server announces.
 	Slots int
 	// Classes are the classes of the backend server's service.
 	Classes []Class
-	// MaxWaiting bounds the calls that wait; zero means
-	// DefaultWaitingPerSlot for each slot.
+	// MaxWaiting limits the waiting calls; zero means DefaultWaitingPerSlot for
+	// each slot.
 	MaxWaiting int
 }
 
-// DefaultWaitingPerSlot bounds the queue where Config.MaxWaiting is zero.
+// DefaultWaitingPerSlot is the queue length per slot when Config.MaxWaiting is zero.
 const DefaultWaitingPerSlot = 16
 
 func (c Config) withDefaults() Config {
@@ -67,31 +65,32 @@
 	return c
 }
 
-// Result is how a call that held a permit ended.
+// Result describes how a call that held a permit ended.
 type Result struct {
-	// Latency is how long the backend server took.
+	// Latency is the service time at the backend server.
 	Latency time.Duration
-	// Failed says that the call ended without an answer to measure by.
+	// Failed reports that the call ended without an answer whose latency counts.
 	Failed bool
-	// Shed says that the backend server refused the call.
+	// Shed reports that the backend server refused the call.
 	Shed bool
 }
 
-// ClassStats is what a Gate knows of one class.
+// ClassStats holds the state and the counters of one class.
 type ClassStats struct {
 	Class   string
 	Running int
 	Waiting int
-	// AllowedSlots is how many slots may be busy for the class to start a call.
+	// AllowedSlots is the number of busy slots at which the class starts no more
+	// calls, unless it has none running.
 	AllowedSlots int
 	Started      uint64
 	Done         uint64
 	Refused      uint64
-	Busy         uint64 // calls that were not to wait, and found no free slot
+	Busy         uint64 // calls with NoWait that found no free slot
 	OverRate     uint64
 	Expired      uint64
-	OnTarget     uint64 // answers within AnswerWithin, the wait included
+	OnTarget     uint64 // answers within AnswerWithin, waiting included
 	// LatencyRatio is the recent high latency over AnswerWithin; above one the
-	// class misses its target.
+	// class misses its latency target.
 	LatencyRatio float64
 }
--- a/internal/limit/control.go
+++ b/internal/limit/control.go
@@ -3,37 +3,37 @@
 import "time"
 
 const (
-	// controlWindow is how often limits and reservations are looked at.
+	// controlWindow is the interval at which limits and reservations are adjusted.
 	controlWindow = 250 * time.Millisecond
-	// missedPart is the part of a class's calls in one window that may be
-	// late or refused before the class counts as missing its target.
-	missedPart = 0.05
-	// releaseEvery is how many windows without a miss free a reserved slot.
-	releaseEvery = 2
+	// maxMissRate is the fraction of a class's calls in one window that may be
+	// late or refused before the class counts as missing its latency target.
+	maxMissRate = 0.05
+	// releaseWindows is how many windows without a miss release a reserved slot.
+	releaseWindows = 2
 )
 
-// learn takes the measurements of a call that has ended.
-func (q *Queue) learn(now time.Time, e *Entry, r Result) {
+// recordResult updates the measurements with a call that has ended.
+func (q *Queue) recordResult(now time.Time, e *Entry, r Result) {
 	c := e.class
 	c.stats.Done++
-	if q.waiting > 0 && !q.lastDone.IsZero() {
-		q.doneEvery.add(now.Sub(q.lastDone))
+	if q.waiting > 0 && !q.lastCompletion.IsZero() {
+		q.completionInterval.add(now.Sub(q.lastCompletion))
 	}
-	q.lastDone = now
+	q.lastCompletion = now
 	if r.Shed {
-		q.adaptive.shed++
+		q.adaptive.shedCalls++
 		return
 	}
 	if r.Failed {
-		// A failure's time says nothing of the work: a backend server
-		// that fails fast would look like one with room.
+		// The latency of a failure is not counted: a backend server that
+		// fails fast would look like one with spare capacity.
 		return
 	}
-	c.service.add(r.Latency)
-	c.serviceHigh.add(r.Latency)
-	q.adaptive.observe(c, e.busy, r.Latency)
+	c.serviceTime.add(r.Latency)
+	c.serviceTimeHigh.add(r.Latency)
+	q.adaptive.observe(c, e.busyAtStart, r.Latency)
 	total := e.started.Sub(e.arrived) + r.Latency
-	c.high.add(total)
+	c.latencyHigh.add(total)
 	c.window.answered++
 	if c.AnswerWithin > 0 && total > c.AnswerWithin {
 		c.window.late++
@@ -42,23 +42,23 @@
 	c.stats.OnTarget++
 }
 
-// turnWindow ends the control window if it is over.
-func (q *Queue) turnWindow(now time.Time) {
+// rollWindow starts a new control window if the current one is over.
+func (q *Queue) rollWindow(now time.Time) {
 	if now.Before(q.windowEnd) {
 		return
 	}
 	q.windowEnd = now.Add(controlWindow)
-	q.adaptive.turn()
+	q.adaptive.endWindow()
 	for _, c := range q.ordered {
-		c.turn()
+		c.endWindow()
 	}
 	if !q.options.NoYielding {
-		q.turnReservations()
+		q.adjustReservations()
 	}
 }
 
-// turn ends the class's window.
-func (c *classState) turn() {
+// endWindow computes the miss rate of the window and resets its counts.
+func (c *classState) endWindow() {
 	total := c.window.answered + c.window.refused
 	var missed float64
 	if total > 0 {
@@ -68,69 +68,72 @@
 	c.window = windowCounts{}
 }
 
-// misses reports whether the class misses its target, be it by late answers or
-// because its calls had to be refused to keep the others' answers in time.
-func (c *classState) misses() bool {
-	return c.AnswerWithin > 0 && c.missRate > missedPart
+// missesTarget reports whether the class misses its latency target, by late
+// answers or by calls refused so that other answers are in time.
+func (c *classState) missesTarget() bool {
+	return c.AnswerWithin > 0 && c.missRate > maxMissRate
 }
 
-// turnReservations moves one slot. While a class misses its target, one more
-// slot is kept free of the class furthest inside its own; after some windows
-// without a miss one slot is given back to the most restricted class.
+// adjustReservations moves one slot. While a class misses its latency target, the
+// class furthest within its own loses one more allowed slot; after releaseWindows
+// without a miss the most restricted class regains one.
 //
-// The class that misses is itself let up to the limit. So whenever something is
-// reserved there is a class with calls to run that may use it, and an
-// overloaded backend server is kept busy.
-func (q *Queue) turnReservations() {
-	if missing := q.missing(); missing != nil {
-		q.calmWindows = 0
-		missing.upTo = q.cfg.Slots
-		if g := q.giver(missing); g != nil {
-			g.upTo = min(g.upTo, q.Limit()) - 1
+// The class that misses its target may use all slots. So some class with waiting
+// calls may use every reserved slot, and an overloaded backend server is kept busy.
+func (q *Queue) adjustReservations() {
+	if behind := q.mostBehindClass(); behind != nil {
+		q.windowsWithoutMiss = 0
+		behind.allowedSlots = q.cfg.Slots
+		if yielding := q.yieldingClass(behind); yielding != nil {
+			yielding.allowedSlots = min(yielding.allowedSlots, q.Limit()) - 1
 		}
 		return
 	}
-	q.calmWindows++
-	if q.calmWindows%releaseEvery != 0 {
+	q.windowsWithoutMiss++
+	if q.windowsWithoutMiss%releaseWindows != 0 {
 		return
 	}
-	if c := q.mostRestricted(); c != nil {
-		c.upTo++
+	if c := q.mostRestrictedClass(); c != nil {
+		c.allowedSlots++
 	}
 }
 
-// missing returns the class furthest outside its target, or nil.
-func (q *Queue) missing() *classState {
+// mostBehindClass returns the class furthest beyond its latency target, or nil if
+// none misses it.
+func (q *Queue) mostBehindClass() *classState {
 	var worst *classState
 	for _, c := range q.ordered {
-		if c.misses() && (worst == nil || givesWayBefore(worst, c)) {
+		if c.missesTarget() && (worst == nil || yieldsBefore(worst, c)) {
 			worst = c
 		}
 	}
 	return worst
 }
 
-// giver returns the class that gives way to missing: the one furthest inside
-// its target among those that hold slots and have any to give.
-func (q *Queue) giver(missing *classState) *classState {
-	var g *classState
+// yieldingClass returns the class that yields a slot to behind, or nil: the one
+// furthest within its latency target among those that hold slots and are allowed
+// more than one.
+func (q *Queue) yieldingClass(behind *classState) *classState {
+	var yielding *classState
 	for _, c := range q.ordered {
-		if c.running == 0 || c.upTo <= 1 || !givesWayBefore(c, missing) {
+		if c.running == 0 || c.allowedSlots <= 1 || !yieldsBefore(c, behind) {
 			continue
 		}
-		if g == nil || givesWayBefore(c, g) {
-			g = c
+		if yielding == nil || yieldsBefore(c, yielding) {
+			yielding = c
 		}
 	}
-	return g
+	return yielding
 }
 
-func (q *Queue) mostRestricted() *classState {
-	var m *classState
+// mostRestrictedClass returns the class with the fewest allowed slots, or nil if
+// all may use all slots.
+func (q *Queue) mostRestrictedClass() *classState {
+	var restricted *classState
 	for _, c := range q.ordered {
-		if c.upTo < q.cfg.Slots && (m == nil || c.upTo < m.upTo) {
-			m = c
+		if c.allowedSlots < q.cfg.Slots && (restricted == nil || c.allowedSlots < restricted.allowedSlots) {
+			restricted = c
 		}
 	}
-	return m
+	return restricted
 }
--- a/internal/limit/dispatch.go
+++ b/internal/limit/dispatch.go
@@ -6,35 +6,35 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// dispatch starts waiting calls while there is room: first those whose callers don't
-// come back, then those that can be in time, then the overdue ones.
+// dispatch starts waiting calls while slots are free: one-shot calls first, then
+// calls that can meet their latency target, then overdue ones.
 func (q *Queue) dispatch(now time.Time) {
 	for q.waiting > 0 && q.running < q.Limit() {
-		if c := q.firstOnce(); c != nil {
-			q.startFrom(now, &c.once)
+		if c := q.nextOneShotClass(); c != nil {
+			q.startHead(now, &c.oneShot)
 			continue
 		}
-		if c := q.next(now); c != nil {
-			q.startHead(now, c)
+		if c := q.nextOnTimeClass(now); c != nil {
+			q.startNextOnTime(now, c)
 			continue
 		}
-		c := q.firstOverdue()
+		c := q.nextOverdueClass()
 		if c == nil {
 			return
 		}
-		q.startFrom(now, &c.overdue)
+		q.startHead(now, &c.overdue)
 	}
 }
 
-// next returns the class to start a call of that can still be answered in time, or
-// nil if those that wait may not hold more slots now. A class below its share goes
-// before one at or over it, so the share binds only while others wait.
-func (q *Queue) next(now time.Time) *classState {
+// nextOnTimeClass returns the class whose on-time lane starts the next call, or nil
+// if no class with such calls may take a slot. A class below its share goes before
+// one at or over it, so that the share limits a class only while others wait.
+func (q *Queue) nextOnTimeClass(now time.Time) *classState {
 	limit := q.Limit()
-	for _, over := range []bool{false, true} {
+	for _, atShare := range []bool{false, true} {
 		q.candidates = q.candidates[:0]
 		for _, c := range q.ordered {
-			if c.waiting.Len() > 0 && q.mayStart(c) && c.overShare(limit) == over {
+			if c.onTime.Len() > 0 && q.mayStart(c) && c.overShare(limit) == atShare {
 				q.candidates = append(q.candidates, c)
 			}
 		}
@@ -45,33 +45,34 @@
 	return nil
 }
 
-// mayStart reports whether the reservations let c take a free slot. Each class
-// may hold one slot whatever is reserved, so that none starves.
+// mayStart reports whether the reservations allow c a free slot. Each class may
+// hold one slot whatever is reserved, so that none starves.
 func (q *Queue) mayStart(c *classState) bool {
-	return q.running < c.upTo || c.running == 0
+	return q.running < c.allowedSlots || c.running == 0
 }
 
-// startHead starts the foremost call of c that waits to be answered in time, refuses it
-// if starting it would be of no use, or puts it off if it is late by now.
-func (q *Queue) startHead(now time.Time, c *classState) {
-	e := c.foremost()
-	if q.useless(now, e) {
+// startNextOnTime starts the next on-time call of c, refuses it if too little time is
+// left to run it, or moves it to the overdue lane if it would miss its latency target.
+func (q *Queue) startNextOnTime(now time.Time, c *classState) {
+	e := c.nextOnTime()
+	if q.refuseIfTooLate(now, e) {
 		return
 	}
-	if !q.options.NoPrediction && c.late(e, now) {
-		c.waiting.Remove(e.element)
-		q.putOff(e)
+	if !q.options.NoPrediction && c.likelyLate(e, now) {
+		c.onTime.Remove(e.element)
+		q.moveToOverdue(e)
 		return
 	}
-	q.startWaiting(now, e)
+	q.dequeueAndStart(now, e)
 }
 
-// useless refuses a call that could not be answered by its deadline.
-func (q *Queue) useless(now time.Time, e *Entry) bool {
+// refuseIfTooLate refuses a waiting call that cannot be answered by its deadline. It
+// reports whether it did.
+func (q *Queue) refuseIfTooLate(now time.Time, e *Entry) bool {
 	switch {
 	case e.class.expired(e, now):
 		q.refuseWaiting(now, e, call.ReasonExpired, "waited past its deadline")
-	case e.class.hopeless(e, now):
+	case e.class.tooLateToRun(e, now):
 		q.refuseWaiting(now, e, call.ReasonExpired, "too little time left to run")
 	default:
 		return false
@@ -79,8 +80,8 @@
 	return true
 }
 
-func (q *Queue) startWaiting(now time.Time, e *Entry) {
-	q.remove(e)
+func (q *Queue) dequeueAndStart(now time.Time, e *Entry) {
+	q.dequeue(e)
 	q.start(now, e)
 	q.events = append(q.events, Event{Entry: e})
 }
@@ -89,20 +90,20 @@
 func (q *Queue) start(now time.Time, e *Entry) {
 	c := e.class
 	c.running++
-	e.count(0, 1)
+	e.addToWorkspace(0, 1)
 	q.running++
 	c.stats.Started++
 	e.state = entryRunning
 	e.started = now
-	e.busy = q.running
+	e.busyAtStart = q.running
 	lane := c.laneOf(e)
-	c.grantsOf(e).granted(now, lane.Len() > 0)
+	c.startsOf(e).record(now, lane.Len() > 0)
 }
 
-func (q *Queue) remove(e *Entry) {
+func (q *Queue) dequeue(e *Entry) {
 	e.class.laneOf(e).Remove(e.element)
 	e.element = nil
-	e.count(-1, 0)
+	e.addToWorkspace(-1, 0)
 	e.state = entryEnded
 	q.waiting--
 }
--- a/internal/limit/fair.go
+++ b/internal/limit/fair.go
@@ -2,15 +2,15 @@
 
 import "container/list"
 
-// Caller is on whose behalf a call is made.
+// Caller identifies on whose behalf a call is made.
 type Caller struct {
 	// Workspace is the workspace that holds the caller's key, or empty.
 	Workspace string
-	// Priority goes before that of the call's class; zero leaves it to the class.
+	// Priority overrides that of the call's class; zero means the class's priority.
 	Priority int
 }
 
-// priority orders calls wherever some must give way.
+// priority returns the priority that decides which calls yield to others.
 func (e *Entry) priority() int {
 	if e.Caller.Priority != 0 {
 		return e.Caller.Priority
@@ -18,109 +18,112 @@
 	return e.class.Priority
 }
 
-// tally counts the calls that one workspace has in a class.
-type tally struct {
+// workspaceCount counts the calls of one workspace in a class.
+type workspaceCount struct {
 	workspace string
 	waiting   int
 	running   int
 }
 
-// tallies are those of a class's workspaces with calls in it.
-type tallies struct {
-	byName map[string]*tally
-	spare  []*tally
+// workspaceCounts holds the counts of the workspaces that have calls in a class.
+type workspaceCounts struct {
+	byName map[string]*workspaceCount
+	spare  []*workspaceCount
 }
 
-func (ts *tallies) of(workspace string) *tally {
+// forWorkspace returns the count of a workspace, or nil if the name is empty.
+func (wc *workspaceCounts) forWorkspace(workspace string) *workspaceCount {
 	if workspace == "" {
 		return nil
 	}
-	if t := ts.byName[workspace]; t != nil {
-		return t
+	if count := wc.byName[workspace]; count != nil {
+		return count
 	}
-	if ts.byName == nil {
-		ts.byName = make(map[string]*tally)
+	if wc.byName == nil {
+		wc.byName = make(map[string]*workspaceCount)
 	}
-	t := ts.unused()
-	t.workspace = workspace
-	ts.byName[workspace] = t
-	return t
+	count := wc.newCount()
+	count.workspace = workspace
+	wc.byName[workspace] = count
+	return count
 }
 
-func (ts *tallies) unused() *tally {
-	last := len(ts.spare) - 1
+func (wc *workspaceCounts) newCount() *workspaceCount {
+	last := len(wc.spare) - 1
 	if last < 0 {
-		return &tally{}
+		return &workspaceCount{}
 	}
-	t := ts.spare[last]
-	ts.spare = ts.spare[:last]
-	return t
+	count := wc.spare[last]
+	wc.spare = wc.spare[:last]
+	return count
 }
 
-// settle drops t once its workspace has no call in the class.
-func (ts *tallies) settle(t *tally) {
-	if t.waiting > 0 || t.running > 0 {
+// dropIfIdle removes a count whose workspace has no call in the class.
+func (wc *workspaceCounts) dropIfIdle(count *workspaceCount) {
+	if count.waiting > 0 || count.running > 0 {
 		return
 	}
-	delete(ts.byName, t.workspace)
-	ts.spare = append(ts.spare, t)
+	delete(wc.byName, count.workspace)
+	wc.spare = append(wc.spare, count)
 }
 
-// count adds to the calls of e's workspace that wait and run in its class.
-func (e *Entry) count(waiting, running int) {
-	t := e.class.tallies.of(e.Caller.Workspace)
-	if t == nil {
+// addToWorkspace adds to the waiting and running calls of e's workspace in its class.
+func (e *Entry) addToWorkspace(waiting, running int) {
+	count := e.class.workspaces.forWorkspace(e.Caller.Workspace)
+	if count == nil {
 		return
 	}
-	t.waiting += waiting
-	t.running += running
-	e.class.tallies.settle(t)
+	count.waiting += waiting
+	count.running += running
+	e.class.workspaces.dropIfIdle(count)
 }
 
-// yields reports whether a, which waits, gives way to b: its class stands further inside its
-// target, or its priority is lower, or its workspace has at least two more calls waiting in the
-// same class: with one more, the two would only change places.
+// yields reports whether a waiting call yields to another one: its class is further within its
+// latency target, or its priority is lower, or its workspace has at least two more calls waiting
+// in the same class. With only one more, the two workspaces would just change places.
 //
-// The last is longest queue drop, a buffer policy that needs no state for idle workspaces. It
-// guards against a workspace that sends many times its usual and fills the queue alone.
-func yields(a, b *Entry) bool {
-	if a.class != b.class && a.class.band() != b.class.band() {
-		return a.class.band() < b.class.band()
+// The last rule is longest queue drop, a buffer policy that needs no state for idle workspaces. It
+// keeps a workspace that sends many times its usual load from filling the queue alone.
+func yields(waiting, other *Entry) bool {
+	if waiting.class != other.class && waiting.class.latencyBand() != other.class.latencyBand() {
+		return waiting.class.latencyBand() < other.class.latencyBand()
 	}
-	if a.priority() != b.priority() {
-		return a.priority() < b.priority()
+	if waiting.priority() != other.priority() {
+		return waiting.priority() < other.priority()
 	}
-	return a.class == b.class && a.Caller.Workspace != b.Caller.Workspace && a.waitingBeside() > b.waitingBeside()+1
+	return waiting.class == other.class && waiting.Caller.Workspace != other.Caller.Workspace && waiting.workspaceWaiting() > other.workspaceWaiting()+1
 }
 
-// waitingBeside is how many calls of e's workspace wait in its class, none if it has no workspace.
-func (e *Entry) waitingBeside() int {
-	if t := e.class.tallies.byName[e.Caller.Workspace]; t != nil {
+// workspaceWaiting returns how many calls of e's workspace wait in its class; zero without a
+// workspace.
+func (e *Entry) workspaceWaiting() int {
+	if t := e.class.workspaces.byName[e.Caller.Workspace]; t != nil {
 		return t.waiting
 	}
 	return 0
 }
 
-// least returns the call of a lane that gives way first, the newest where several would.
-func (c *classState) least(lane *list.List) *Entry {
+// firstToYield returns the call of a lane that yields first, the newest if several would, or nil
+// if the lane is empty.
+func (c *classState) firstToYield(lane *list.List) *Entry {
 	last := lane.Back()
 	if last == nil {
 		return nil
 	}
-	least := last.Value.(*Entry)
-	if len(c.tallies.byName) == 0 {
-		return least
+	yielding := last.Value.(*Entry)
+	if len(c.workspaces.byName) == 0 {
+		return yielding
 	}
 	for el := last.Prev(); el != nil; el = el.Prev() {
-		if e := el.Value.(*Entry); yields(e, least) {
-			least = e
+		if e := el.Value.(*Entry); yields(e, yielding) {
+			yielding = e
 		}
 	}
-	return least
+	return yielding
 }
 
-// insert puts e behind the calls of its priority or a higher one.
-func insert(lane *list.List, e *Entry) *list.Element {
+// insertByPriority inserts e after the calls of the same or a higher priority.
+func insertByPriority(lane *list.List, e *Entry) *list.Element {
 	el := lane.Back()
 	for el != nil && el.Value.(*Entry).priority() < e.priority() {
 		el = el.Prev()
@@ -131,25 +134,26 @@
 	return lane.InsertAfter(e, el)
 }
 
-// newest returns the newest call that waits to be answered in time, of the workspaces with the
-// fewest calls running.
-func (c *classState) newest() *Entry {
-	last := c.waiting.Back()
+// newestOnTime returns the newest call of the on-time lane among the workspaces with the fewest
+// running calls.
+func (c *classState) newestOnTime() *Entry {
+	last := c.onTime.Back()
 	best := last.Value.(*Entry)
-	if len(c.tallies.byName) == 0 {
+	if len(c.workspaces.byName) == 0 {
 		return best
 	}
 	for el := last.Prev(); el != nil; el = el.Prev() {
-		if e := el.Value.(*Entry); e.runningBeside() < best.runningBeside() {
+		if e := el.Value.(*Entry); e.workspaceRunning() < best.workspaceRunning() {
 			best = e
 		}
 	}
 	return best
 }
 
-// runningBeside is how many calls of e's workspace run in its class, none if it has no workspace.
-func (e *Entry) runningBeside() int {
-	if t := e.class.tallies.byName[e.Caller.Workspace]; t != nil {
+// workspaceRunning returns how many calls of e's workspace run in its class; zero without a
+// workspace.
+func (e *Entry) workspaceRunning() int {
+	if t := e.class.workspaces.byName[e.Caller.Workspace]; t != nil {
 		return t.running
 	}
 	return 0
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -9,25 +9,25 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// Options are the parts of a Gate that may be replaced.
+// Options configures a Gate. Zero fields take the defaults.
 type Options struct {
 	// Now is the clock; time.Now when nil.
 	Now func() time.Time
 	// Order is the order of the queue; OvertakingCap over EarliestTarget
-	// when nil. An Order is for one Gate only.
+	// when nil. An Order must not be shared between Gates.
 	Order Order
-	// Rand spreads RetryAfter; seeded at random when nil.
+	// Rand jitters RetryAfter; randomly seeded when nil.
 	Rand *rand.Rand
 }
 
 // Gate limits the calls to one backend server. It is safe for concurrent use.
 type Gate struct {
-	now func() time.Time
-	mu  sync.Mutex // guards queue; never held while waiting
-	q   *Queue
+	now   func() time.Time
+	mu    sync.Mutex // guards queue; never held while waiting
+	queue *Queue
 }
 
-// NewGate returns a Gate of one slot; Configure tells it the rest.
+// NewGate returns a Gate with one slot and no classes until Configure is called.
 func NewGate(o Options) *Gate {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -35,97 +35,97 @@
 	if o.Rand == nil {
 		o.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	return &Gate{now: o.Now, q: NewQueue(QueueOptions{Order: o.Order, Rand: o.Rand})}
+	return &Gate{now: o.Now, queue: NewQueue(QueueOptions{Order: o.Order, Rand: o.Rand})}
 }
 
-// Configure takes a new configuration and ends a drain. Calls that run or wait
-// are kept.
+// Configure applies a new configuration and ends a drain. Running and waiting
+// calls are kept.
 func (g *Gate) Configure(now time.Time, c Config) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.q.Configure(now, c)
-	g.deliver()
+	g.queue.Configure(now, c)
+	g.deliverEvents()
 }
 
-// Drain refuses the calls that wait and all that come. Those that run go on.
+// Drain refuses the waiting calls and all new ones. Running calls continue.
 func (g *Gate) Drain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.q.Drain(g.now())
-	g.deliver()
+	g.queue.Drain(g.now())
+	g.deliverEvents()
 }
 
-// Load returns the calls running and the present limit.
+// Load returns the number of running calls and the present limit.
 func (g *Gate) Load() (busy, slots int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.q.Load()
+	return g.queue.Load()
 }
 
-// Waiting returns how many calls wait.
+// Waiting returns the number of waiting calls.
 func (g *Gate) Waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.q.Waiting()
+	return g.queue.Waiting()
 }
 
-// Stats returns the state of each class, by name. The class with an empty name
-// stands for all that the configuration does not name.
+// Stats returns the state of each class, sorted by name. The class with an empty
+// name stands for all classes that the configuration does not name.
 func (g *Gate) Stats(now time.Time) []ClassStats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.q.Stats(now)
+	return g.queue.Stats(now)
 }
 
-// Permit is the right to have one call run by the backend server. Release must
-// be called once; further calls of it do nothing.
+// Permit allows one call to run at the backend server. Release must be called
+// once; further calls do nothing.
 type Permit struct {
-	g *Gate
-	e Entry
+	gate  *Gate
+	entry Entry
 }
 
-// AcquireOptions are those of a call that a Gate goes by.
+// AcquireOptions describes a call to Gate.Acquire.
 type AcquireOptions struct {
-	// FirstAttempt is when the caller first asked, if it was refused before and came back;
-	// zero means now.
+	// FirstAttempt is when the caller first sent the call, if this is a retry; zero
+	// means now.
 	FirstAttempt time.Time
-	// OneShot says that the caller will not come back when it is refused.
+	// OneShot reports that the caller does not retry a refused call.
 	OneShot bool
-	// Deadline is when the caller leaves; zero means that only the context bounds
+	// Deadline is the deadline of the call; zero means that only the context limits
 	// the wait.
 	Deadline time.Time
-	// NoWait refuses the call at once as busy if no slot is free now.
+	// NoWait refuses the call at once as busy if no slot is free.
 	NoWait bool
 	Caller Caller
 }
 
 // Acquire waits for a permit. The error is a *call.Refusal, or ctx.Err() when
-// the caller gave up; either way the call was not run.
-func (g *Gate) Acquire(ctx context.Context, class string, t AcquireOptions) (*Permit, error) {
-	p := &Permit{g: g}
-	e := &p.e
-	e.FirstAttempt, e.OneShot, e.NoWait, e.Caller = t.FirstAttempt, t.OneShot, t.NoWait, t.Caller
+// the caller gave up; in both cases the call was not run.
+func (g *Gate) Acquire(ctx context.Context, class string, o AcquireOptions) (*Permit, error) {
+	p := &Permit{gate: g}
+	e := &p.entry
+	e.FirstAttempt, e.OneShot, e.NoWait, e.Caller = o.FirstAttempt, o.OneShot, o.NoWait, o.Caller
 	g.mu.Lock()
-	r := g.q.Offer(g.now(), e, class, t.Deadline)
+	r := g.queue.Offer(g.now(), e, class, o.Deadline)
 	if r != nil {
-		g.deliver()
+		g.deliverEvents()
 		g.mu.Unlock()
 		return nil, r
 	}
 	if e.Started() {
-		g.deliver()
+		g.deliverEvents()
 		g.mu.Unlock()
 		return p, nil
 	}
-	answer := make(chan *call.Refusal, 1)
-	e.notify = func(r *call.Refusal) { answer <- r }
-	g.deliver()
+	outcome := make(chan *call.Refusal, 1)
+	e.notify = func(r *call.Refusal) { outcome <- r }
+	g.deliverEvents()
 	g.mu.Unlock()
-	return p.await(ctx, answer)
+	return p.await(ctx, outcome)
 }
 
-func (p *Permit) await(ctx context.Context, answer <-chan *call.Refusal) (*Permit, error) {
-	g, e := p.g, &p.e
+func (p *Permit) await(ctx context.Context, outcome <-chan *call.Refusal) (*Permit, error) {
+	g, e := p.gate, &p.entry
 	var expire <-chan time.Time
 	if until := e.WaitsUntil(); !until.IsZero() {
 		t := time.NewTimer(until.Sub(g.now()))
@@ -133,63 +133,63 @@
 		expire = t.C
 	}
 	select {
-	case r := <-answer:
-		return p.answered(r)
+	case r := <-outcome:
+		return p.result(r)
 	case <-ctx.Done():
-		return p.leave(ctx.Err(), answer)
+		return p.abandon(ctx.Err(), outcome)
 	case <-expire:
 	}
 	g.mu.Lock()
-	r := g.q.Expire(g.now(), e)
-	g.deliver()
+	r := g.queue.Expire(g.now(), e)
+	g.deliverEvents()
 	g.mu.Unlock()
 	if r != nil {
 		return nil, r
 	}
-	// It was started, or refused for another reason, in the same moment.
-	return p.answered(<-answer)
+	// It was started or refused between the timer and the lock.
+	return p.result(<-outcome)
 }
 
-// leave gives up on a call that waits.
-func (p *Permit) leave(why error, answer <-chan *call.Refusal) (*Permit, error) {
-	g, e := p.g, &p.e
+// abandon removes a waiting call whose context is done.
+func (p *Permit) abandon(cause error, outcome <-chan *call.Refusal) (*Permit, error) {
+	g, e := p.gate, &p.entry
 	g.mu.Lock()
-	left := g.q.Abandon(g.now(), e)
-	g.deliver()
+	abandoned := g.queue.Abandon(g.now(), e)
+	g.deliverEvents()
 	g.mu.Unlock()
-	if left {
-		return nil, why
+	if abandoned {
+		return nil, cause
 	}
-	// The call was started or refused between the two events. A slot that
-	// was granted to a caller that has gone must be given back, or it would
-	// be lost for good.
-	if r := <-answer; r != nil {
+	// The call was started or refused before it could be abandoned. A slot
+	// granted to a caller that has left must be released, or it would be lost
+	// for good.
+	if r := <-outcome; r != nil {
 		return nil, r
 	}
 	p.Release(Result{Failed: true})
-	return nil, why
+	return nil, cause
 }
 
-func (p *Permit) answered(r *call.Refusal) (*Permit, error) {
+func (p *Permit) result(r *call.Refusal) (*Permit, error) {
 	if r != nil {
 		return nil, r
 	}
 	return p, nil
 }
 
-// Release gives the slot back and tells how the call ended.
+// Release frees the slot and records how the call ended.
 func (p *Permit) Release(r Result) {
-	p.g.mu.Lock()
-	defer p.g.mu.Unlock()
-	p.g.q.Done(p.g.now(), &p.e, r)
-	p.g.deliver()
+	p.gate.mu.Lock()
+	defer p.gate.mu.Unlock()
+	p.gate.queue.Done(p.gate.now(), &p.entry, r)
+	p.gate.deliverEvents()
 }
 
-// deliver hands events to those who wait. Each channel holds one answer and
-// each entry gets one event, so no send blocks. An entry that started within
-// its own Offer has no one waiting yet.
-func (g *Gate) deliver() {
-	for _, ev := range g.q.Events() {
+// deliverEvents notifies the waiting goroutines. Each channel holds one outcome
+// and each entry gets one event, so no send blocks. An entry that started within
+// its own Offer has no waiting goroutine yet.
+func (g *Gate) deliverEvents() {
+	for _, ev := range g.queue.Events() {
 		if ev.Entry.notify != nil {
 			ev.Entry.notify(ev.Refusal)
 		}
--- a/internal/limit/gate_test.go
+++ b/internal/limit/gate_test.go
@@ -38,18 +38,18 @@
 		start := time.Now()
 		next := mustAcquire(t, g)
 		if time.Since(start) != time.Second {
-			t.Errorf("waited %v", time.Since(start))
+			t.Errorf("waited %v, want 1s", time.Since(start))
 		}
 		next.Release(Result{})
 		if busy, _ := g.Load(); busy != 0 {
-			t.Errorf("%d busy", busy)
+			t.Errorf("%d slots still busy", busy)
 		}
 	})
 }
 
-// A caller gives up while its call waits. It must be answered at once, and the
-// slot that comes free later must go to the next caller, not be lost.
-func TestGivenUpCallIsAnsweredAtOnce(t *testing.T) {
+// Guards against a slot lost to a caller that gives up while its call waits: Acquire
+// returns at once, and the slot freed later goes to the next caller.
+func TestAbandonedCallReturnsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGate(1)
 		p := mustAcquire(t, g)
@@ -60,7 +60,7 @@
 			t.Errorf("got %v", err)
 		}
 		if time.Since(start) != time.Second {
-			t.Errorf("answered after %v", time.Since(start))
+			t.Errorf("returned after %v, want 1s", time.Since(start))
 		}
 		p.Release(Result{})
 		mustAcquire(t, g).Release(Result{})
@@ -79,9 +79,9 @@
 	})
 }
 
-// The slot is granted in the same instant as the caller gives up. The permit
-// must be given back, or the backend server is one slot short for good.
-func TestGrantToCallerThatLeftIsReturned(t *testing.T) {
+// Guards against a slot lost for good when it is granted at the moment the caller
+// gives up.
+func TestSlotGrantedToDepartedCallerIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGate(1)
 		for range 50 {
@@ -95,12 +95,12 @@
 				}
 			}()
 			synctest.Wait()
-			// Both events are there before the caller can take the lock.
+			// Both events occur before the caller can take the lock.
 			g.mu.Lock()
 			cancel()
 			runtime.Gosched()
-			g.q.Done(time.Now(), &p.e, Result{})
-			g.deliver()
+			g.queue.Done(time.Now(), &p.entry, Result{})
+			g.deliverEvents()
 			g.mu.Unlock()
 			<-done
 		}
@@ -121,11 +121,11 @@
 		p.Release(Result{Latency: time.Millisecond})
 	})
 	if got > 1 {
-		t.Errorf("%v allocations", got)
+		t.Errorf("%v allocations, want at most 1", got)
 	}
 }
 
-// Guards the cost of each call with a key: none but the permit is allocated.
+// Guards the cost of a call with a workspace: only the permit is allocated.
 func TestGateAllocatesNothingForWorkspaces(t *testing.T) {
 	g := newTestGate(4)
 	ctx := context.Background()
@@ -137,7 +137,7 @@
 		p.Release(Result{Latency: time.Millisecond})
 	})
 	if got > 1 {
-		t.Errorf("%v allocations", got)
+		t.Errorf("%v allocations, want at most 1", got)
 	}
 }
 
--- a/internal/limit/measure_test.go
+++ b/internal/limit/measure_test.go
@@ -9,71 +9,71 @@
 	"time"
 )
 
-var figures = flag.Bool("figures", false, "print the measurements")
+var figures = flag.Bool("figures", false, "print tables of measurements")
 
-// skipUnlessAsked leaves out the tables, which check nothing and take long.
-func skipUnlessAsked(t *testing.T) {
+// skipWithoutFigures skips tests that only print tables and take long.
+func skipWithoutFigures(t *testing.T) {
 	t.Helper()
 	if !*figures {
 		t.Skip("prints tables only; run with -figures")
 	}
 }
 
-const simLasts = 20 * time.Second
+const simDuration = 20 * time.Second
 
-// policy is one way to run the queue, as the tables compare them.
+// policy is a configuration of the queue that the tables compare.
 type policy struct {
-	name    string
-	options func() QueueOptions
-	share   float64 // of the archive class
-	// heeds says that refused callers wait for RetryAfter.
-	heeds bool
-	seed  uint64        // one when zero
-	lasts time.Duration // simLasts when zero
+	name         string
+	options      func() QueueOptions
+	archiveShare float64
+	// honoursRetryAfter reports whether refused callers wait for RetryAfter.
+	honoursRetryAfter bool
+	seed              uint64        // zero means one
+	duration          time.Duration // zero means simDuration
 }
 
-func plain(o Order) func() QueueOptions {
+func orderOnly(o Order) func() QueueOptions {
 	return func() QueueOptions {
 		return QueueOptions{Order: o, FixedLimit: true, NoYielding: true, NoPrediction: true}
 	}
 }
 
-func whole(o Order) func() QueueOptions {
+func allPolicies(o Order) func() QueueOptions {
 	return func() QueueOptions { return QueueOptions{Order: o} }
 }
 
-// baseline is a fixed limit and one queue, first come, first served.
+// baseline is a fixed limit with a single queue in order of arrival.
 func baseline() policy {
-	return policy{name: "fixed limit, FCFS", options: plain(FirstComeFirstServed{})}
+	return policy{name: "fixed limit, FCFS", options: orderOnly(FirstComeFirstServed{})}
 }
 
-func ours(share float64) policy {
-	name := "ours"
+func defaultPolicy(share float64) policy {
+	name := "default"
 	if share > 0 {
-		name = fmt.Sprintf("ours, archive share %.2f", share)
+		name = fmt.Sprintf("default, archive share %.2f", share)
 	}
-	return policy{name: name, options: whole(nil), share: share, heeds: true}
+	return policy{name: name, options: allPolicies(nil), archiveShare: share, honoursRetryAfter: true}
 }
 
-func (p policy) simulate(load float64, attempts int, flood map[string]float64) simResult {
+func (p policy) simulate(load float64, attempts int, classLoads map[string]float64) simResult {
 	s := simulation{
-		classes: withShare(usualMix(), "archive", p.share),
-		slots:   6, real: 6, load: load, flood: flood, lasts: cmp.Or(p.lasts, simLasts),
+		classes:        withShare(usualMix(), "archive", p.archiveShare),
+		announcedSlots: 6, realSlots: 6, load: load, classLoads: classLoads, duration: cmp.Or(p.duration, simDuration),
 		seed: max(p.seed, 1), attempts: attempts, options: p.options(),
 	}
-	if !p.heeds {
-		s.retryEvery = 100 * time.Millisecond
+	if !p.honoursRetryAfter {
+		s.retryPause = 100 * time.Millisecond
 	}
 	return s.run()
 }
 
-func row(name string, r simResult) string {
+func tableRow(name string, r simResult) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-26s %5.1f%%", name, 100*r.useful)
 	for _, class := range []string{"lookups", "bookings", "archive"} {
 		c := r.classes[class]
 		fmt.Fprintf(&b, " | %5.1f %5.1f %6s %6s", percent(c.answered, c.offered), percent(c.onTarget, c.answered),
-			short(c.quantile(0.5)), short(c.quantile(0.99)))
+			formatDuration(c.quantile(0.5)), formatDuration(c.quantile(0.99)))
 	}
 	return b.String()
 }
@@ -87,23 +87,23 @@
 	return 100 * float64(n) / float64(of)
 }
 
-func short(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	if d < time.Second {
 		return fmt.Sprintf("%dms", d.Milliseconds())
 	}
 	return fmt.Sprintf("%.1fs", d.Seconds())
 }
 
-// TestOverloadFigures prints our policies against the baseline.
+// TestOverloadFigures compares the default policies with the baseline.
 //
 //	go test ./internal/limit -run OverloadFigures -v -figures
 func TestOverloadFigures(t *testing.T) {
-	skipUnlessAsked(t)
+	skipWithoutFigures(t)
 	for _, attempts := range []int{1, 4} {
 		for _, load := range []float64{0.5, 1, 2, 4} {
-			t.Logf("load %.1fx, attempts a call %d\n%s", load, attempts, tableHead)
-			for _, p := range []policy{baseline(), ours(0), ours(0.2)} {
-				t.Log(row(p.name, p.simulate(load, attempts, nil)))
+			t.Logf("load %.1fx, attempts per call %d\n%s", load, attempts, tableHead)
+			for _, p := range []policy{baseline(), defaultPolicy(0), defaultPolicy(0.2)} {
+				t.Log(tableRow(p.name, p.simulate(load, attempts, nil)))
 			}
 		}
 	}
@@ -128,7 +128,7 @@
 		{"earliest target, cap 4", func() Order { return &OvertakingCap{Inner: EarliestTarget{}, Weight: 4} }},
 		{"earliest target, cap 1/4", func() Order { return &OvertakingCap{Inner: EarliestTarget{}, Weight: 0.25} }},
 	} {
-		ps = append(ps, policy{name: o.name, options: func() QueueOptions { return plain(o.make())() }})
+		ps = append(ps, policy{name: o.name, options: func() QueueOptions { return orderOnly(o.make())() }})
 	}
 	return ps
 }
@@ -141,30 +141,29 @@
 	{"archive flood at 3x of all capacity", map[string]float64{"archive": 10}},
 }
 
-// TestOrderFigures prints the orders against each other, alone and with the
-// other policies on.
+// TestOrderFigures compares the orders, alone and with the other policies on.
 //
 //	go test ./internal/limit -run OrderFigures -v -figures
 func TestOrderFigures(t *testing.T) {
-	skipUnlessAsked(t)
+	skipWithoutFigures(t)
 	for _, all := range []bool{false, true} {
 		for _, load := range []float64{0.5, 0.9, 1, 2, 4} {
 			t.Logf("load %.1fx, other policies on: %v\n%s", load, all, tableHead)
 			for _, p := range orders() {
-				t.Log(row(p.name, p.with(all).simulate(load, 1, nil)))
+				t.Log(tableRow(p.name, p.withOtherPolicies(all).simulate(load, 1, nil)))
 			}
 		}
 		for _, f := range floods {
 			t.Logf("%s, other policies on: %v\n%s", f.name, all, tableHead)
 			for _, p := range orders() {
-				t.Log(row(p.name, p.with(all).simulate(0.5, 1, f.loads)))
+				t.Log(tableRow(p.name, p.withOtherPolicies(all).simulate(0.5, 1, f.loads)))
 			}
 		}
 	}
 }
 
-// with turns the other policies on.
-func (p policy) with(all bool) policy {
+// withOtherPolicies turns the other policies on if all is set.
+func (p policy) withOtherPolicies(all bool) policy {
 	if !all {
 		return p
 	}
@@ -173,23 +172,23 @@
 	return p
 }
 
-// TestOrderScores sums the orders up over all loads and floods and five seeds,
-// with the other policies on: the answers on target of each class per call
-// offered, and the worst that any load did to a class.
+// TestOrderScores compares the orders over all loads, floods and five seeds, with
+// the other policies on: the answers on target per offered call of each class, and
+// the worst value of any class at any load.
 //
 //	go test ./internal/limit -run OrderScores -v -figures
 func TestOrderScores(t *testing.T) {
-	skipUnlessAsked(t)
+	skipWithoutFigures(t)
 	t.Log("order                      met/offered: lookups bookings archive mean | worst met/offered, worst on target/answered | useful")
 	for _, p := range orders() {
-		t.Log(scoreOf(p.with(true)))
+		t.Log(scoreOf(p.withOtherPolicies(true)))
 	}
 }
 
 func scoreOf(p policy) string {
 	met, offered := make(map[string]int), make(map[string]int)
 	worstMet, worstOnTarget, useful, runs := 100.0, 100.0, 0.0, 0
-	take := func(r simResult) {
+	accumulate := func(r simResult) {
 		useful += r.useful
 		runs++
 		for name, c := range r.classes {
@@ -204,12 +203,12 @@
 	for seed := range uint64(5) {
 		p.seed = seed + 1
 		for _, load := range []float64{0.9, 1, 2, 4} {
-			take(p.simulate(load, 1, nil))
+			accumulate(p.simulate(load, 1, nil))
 		}
 		for _, f := range floods {
-			take(p.simulate(0.5, 1, f.loads))
+			accumulate(p.simulate(0.5, 1, f.loads))
 		}
 	}
-	l, b, a := percent(met["lookups"], offered["lookups"]), percent(met["bookings"], offered["bookings"]), percent(met["archive"], offered["archive"])
-	return fmt.Sprintf("%-26s %5.1f %5.1f %5.1f %5.1f | %5.1f %5.1f | %5.1f%%", p.name, l, b, a, (l+b+a)/3, worstMet, worstOnTarget, 100*useful/float64(runs))
+	lookups, bookings, archive := percent(met["lookups"], offered["lookups"]), percent(met["bookings"], offered["bookings"]), percent(met["archive"], offered["archive"])
+	return fmt.Sprintf("%-26s %5.1f %5.1f %5.1f %5.1f | %5.1f %5.1f | %5.1f%%", p.name, lookups, bookings, archive, (lookups+bookings+archive)/3, worstMet, worstOnTarget, 100*useful/float64(runs))
 }
--- a/internal/limit/order.go
+++ b/internal/limit/order.go
@@ -5,87 +5,88 @@
 	"time"
 )
 
-// Order chooses which class's oldest call starts next. Calls of one class are
-// alike in expected work, so within a class the order is always of arrival.
+// Order chooses the class whose next call starts. Calls of one class have the same
+// expected work, so an Order does not distinguish between them.
 type Order interface {
 	// pick returns one of the candidates, each of which has a call waiting.
 	pick(now time.Time, candidates []*classState) *classState
 }
 
-// defaultOrder is the order that won the measurements in
+// defaultOrder returns the order that was best in the measurements of
 // docs/design/queue-order.md.
 func defaultOrder() Order { return &OvertakingCap{Inner: EarliestTarget{}} }
 
-// OvertakingCap follows Inner but bounds the work that may start ahead of the
-// oldest call that waits: at most as much as that call's own expected work.
-// Without it a stream of calls that are due soon keeps a long call waiting
-// until it is late for its own target. The cap is that of the paper "Fairway:
-// Load-Aware KV Cache Reuse for LLM Prefill Scheduling".
+// OvertakingCap follows Inner but limits the work that may start ahead of the
+// oldest waiting call to that call's own expected work. Without the cap, a stream
+// of calls that are due soon delays a long call until it misses its own target.
+// The cap is taken from the paper "Fairway: Load-Aware KV Cache Reuse for LLM
+// Prefill Scheduling".
 type OvertakingCap struct {
 	Inner Order
-	// Weight divides the oldest call's work to give the bound; zero means
-	// one. The paper has four.
-	Weight float64
-	oldest uint64  // sequence of the call that ahead counts for
-	ahead  float64 // expected work started ahead of it, in nanoseconds
+	// Weight divides the oldest call's work to give the cap; zero means one.
+	// The paper uses four.
+	Weight         float64
+	oldestSequence uint64  // sequence of the call that workAhead refers to
+	workAhead      float64 // expected work started ahead of that call, in nanoseconds
 }
 
-func (o *OvertakingCap) pick(now time.Time, cs []*classState) *classState {
-	oldest := FirstComeFirstServed{}.pick(now, cs)
-	if o.oldest != oldest.foremost().sequence {
-		o.oldest, o.ahead = oldest.foremost().sequence, 0
+func (o *OvertakingCap) pick(now time.Time, candidates []*classState) *classState {
+	oldest := FirstComeFirstServed{}.pick(now, candidates)
+	if o.oldestSequence != oldest.nextOnTime().sequence {
+		o.oldestSequence, o.workAhead = oldest.nextOnTime().sequence, 0
 	}
-	c := o.Inner.pick(now, cs)
+	c := o.Inner.pick(now, candidates)
 	if c == oldest {
 		return c
 	}
-	if cmp.Or(o.Weight, 1)*(o.ahead+c.service.value) > oldest.service.value {
+	if cmp.Or(o.Weight, 1)*(o.workAhead+c.serviceTime.value) > oldest.serviceTime.value {
 		return oldest
 	}
-	o.ahead += c.service.value
+	o.workAhead += c.serviceTime.value
 	return c
 }
 
-// FirstComeFirstServed starts the call that arrived first.
+// FirstComeFirstServed starts the class whose next call arrived first.
 type FirstComeFirstServed struct{}
 
-func (FirstComeFirstServed) pick(_ time.Time, cs []*classState) *classState {
-	best := cs[0]
-	for _, c := range cs[1:] {
-		if c.foremost().before(best.foremost()) {
+func (FirstComeFirstServed) pick(_ time.Time, candidates []*classState) *classState {
+	best := candidates[0]
+	for _, c := range candidates[1:] {
+		if c.nextOnTime().before(best.nextOnTime()) {
 			best = c
 		}
 	}
 	return best
 }
 
-// EarliestTarget starts the call that must start first to be answered in time:
-// within its class's answer time, or by its deadline where there is none, with
-// the time that a slow call of its class takes set aside.
+// EarliestTarget starts the class whose next call has the earliest latest start:
+// the last moment to start it and, even if it is a slow one, meet its class's
+// latency target, or its deadline if the class has no target that it can meet.
 type EarliestTarget struct{}
 
-func (EarliestTarget) pick(_ time.Time, cs []*classState) *classState {
-	best := cs[0]
-	bestDue := due(best)
-	for _, c := range cs[1:] {
-		if d := due(c); d.Before(bestDue) {
-			best, bestDue = c, d
+func (EarliestTarget) pick(_ time.Time, candidates []*classState) *classState {
+	best := candidates[0]
+	bestStart := latestStart(best)
+	for _, c := range candidates[1:] {
+		if start := latestStart(c); start.Before(bestStart) {
+			best, bestStart = c, start
 		}
 	}
 	return best
 }
 
-// untargetedPatience stands for the answer time of a class that has neither a
-// target nor a deadline.
-const untargetedPatience = 30 * time.Second
+// defaultWait is the wait budget of a call that has neither a latency target nor a
+// deadline.
+const defaultWait = 30 * time.Second
 
-func due(c *classState) time.Time {
-	e := c.foremost()
+// latestStart returns the latest time to start the next call of c.
+func latestStart(c *classState) time.Time {
+	e := c.nextOnTime()
 	if budget := c.waitBudget(); budget > 0 {
 		return e.arrived.Add(budget)
 	}
 	if !e.deadline.IsZero() {
-		return e.deadline.Add(-c.service.duration())
+		return e.deadline.Add(-c.serviceTime.duration())
 	}
-	return e.arrived.Add(untargetedPatience)
+	return e.arrived.Add(defaultWait)
 }
--- a/internal/limit/overdue.go
+++ b/internal/limit/overdue.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Calls that can only be answered later than their class aims at wait in a lane of
-// their own, and get the slots that no call which can still be in time asks for.
+// Overdue calls can no longer meet their class's latency target. They wait in a lane of
+// their own and get spare slots, that is, those that no on-time call takes.
 //
-// It guards against an overload that feeds itself. Callers who were refused come back
-// late. Served in the order of arrival, they take the places of callers who could be
-// in time, who are refused for it, and come back late in turn. Put behind, they cost
-// nobody's answer time, and as many calls are served: at a quarter more than one backend
-// server can do, with callers that come back twice, 70 calls in 100 are in time where
-// there are 51 otherwise (TestReturningCallersDoNotCrowdOutOthers).
+// This prevents an overload that sustains itself. Refused callers retry late. Served in
+// order of arrival, their calls take slots from calls that could meet their target, whose
+// callers are refused and retry late in turn. Served after the on-time calls, they delay
+// no one, and as many calls are served: at 1.25 times the capacity of one backend server,
+// with callers that retry twice, 70 of 100 calls are in time instead of 51
+// (TestRetryingCallersDoNotCrowdOutOthers).
 
-// overduePart is the part of the time left to a call that it waits for a slot to be
-// left over. The rest is kept for its caller to come back, which most do a second or
-// two later, when a wave of calls may have passed.
-const overduePart = 0.15
+// overdueWaitFraction is the fraction of the remaining time that an overdue call waits
+// for a spare slot. The rest is left for a retry by its caller, which usually follows a
+// second or two later, when a burst may have passed.
+const overdueWaitFraction = 0.15
 
-// inTimePart is the part of the answer time, less the mean run, for which a call waits
-// at one backend server. What is left serves for another one. Waiting until the last
-// moment, refused callers had waited twice as long for nothing.
-const inTimePart = 0.5
+// onTimeWaitFraction is the fraction of the latency target, less the mean service time,
+// that a call waits at one backend server. The rest is left for another one. When calls
+// waited until the last moment, refused callers had waited twice as long in vain.
+const onTimeWaitFraction = 0.5
 
-// waitsUntil returns the moment after which e waits no more, or zero for none. A call
-// of a class with a target waits as long as it may still be in time, or the part of its
-// time that overdue calls wait.
+// waitsUntil returns when e stops waiting, or zero for never. A call of a class with a
+// latency target waits while it can meet the target, or as long as an overdue call if
+// that is longer.
 func (q *Queue) waitsUntil(now time.Time, e *Entry) time.Time {
 	c := e.class
-	common := float64(c.AnswerWithin - c.service.duration())
-	budget := max(c.waitBudget(), time.Duration(inTimePart*common))
+	meanBudget := float64(c.AnswerWithin - c.serviceTime.duration())
+	budget := max(c.waitBudget(), time.Duration(onTimeWaitFraction*meanBudget))
 	if e.OneShot || e.deadline.IsZero() || budget <= 0 || q.options.NoPrediction {
 		return e.deadline
 	}
-	until := now.Add(e.patience(now))
-	if inTime := e.FirstAttempt.Add(budget); inTime.After(until) {
-		until = inTime
+	until := now.Add(e.overdueWait(now))
+	if onTimeUntil := e.FirstAttempt.Add(budget); onTimeUntil.After(until) {
+		until = onTimeUntil
 	}
 	if until.After(e.deadline) {
 		return e.deadline
@@ -45,76 +45,78 @@
 	return until
 }
 
-// patience is how long an overdue call waits for a slot to be left over.
-func (e *Entry) patience(now time.Time) time.Duration {
-	return time.Duration(overduePart * float64(e.deadline.Sub(now)))
+// overdueWait returns how long an overdue call waits for a spare slot.
+func (e *Entry) overdueWait(now time.Time) time.Duration {
+	return time.Duration(overdueWaitFraction * float64(e.deadline.Sub(now)))
 }
 
-// putOff puts a call that was taken out of its lane behind those that are overdue.
-func (q *Queue) putOff(e *Entry) {
+// moveToOverdue adds a call that was removed from its lane to the overdue lane.
+func (q *Queue) moveToOverdue(e *Entry) {
 	e.overdue = true
-	e.element = e.class.place(e)
+	e.element = e.class.enqueue(e)
 }
 
-// worthPuttingOff reports whether a slot is likely to be left over for e while it
-// waits. The first may always wait, or nobody would notice when there are slots again.
-func (q *Queue) worthPuttingOff(now time.Time, e *Entry) bool {
+// overdueSlotLikely reports whether e is likely to get a spare slot while it waits. The
+// first overdue call may always wait, so that spare slots are noticed again.
+func (q *Queue) overdueSlotLikely(now time.Time, e *Entry) bool {
 	c := e.class
-	return c.overdue.Len() == 0 || e.deadline.IsZero() || q.predictOverdue(now, c) <= e.patience(now)
+	return c.overdue.Len() == 0 || e.deadline.IsZero() || q.predictOverdueWait(now, c) <= e.overdueWait(now)
 }
 
-// predictOverdue estimates how long a newcomer waits for a slot to be left over.
-func (q *Queue) predictOverdue(now time.Time, c *classState) time.Duration {
-	every := c.overdueGrants.every.duration()
-	if !c.overdueGrants.last.IsZero() {
-		// No slot was left over since the last one: the average is of better times.
-		every = max(every, now.Sub(c.overdueGrants.last))
+// predictOverdueWait estimates how long a new overdue call waits for a spare slot.
+func (q *Queue) predictOverdueWait(now time.Time, c *classState) time.Duration {
+	interval := c.overdueStarts.interval.duration()
+	if !c.overdueStarts.last.IsZero() {
+		// No slot has been spare since the last start, so the average is out of date.
+		interval = max(interval, now.Sub(c.overdueStarts.last))
 	}
-	return time.Duration(c.overdue.Len()+1) * every
+	return time.Duration(c.overdue.Len()+1) * interval
 }
 
-// firstOnce returns the class whose foremost call that never comes back has the highest
-// priority, then the one whose call came first. Reservations don't bind them: a class far inside
-// its target gives way to others, and lookups of work in progress are always far inside.
-func (q *Queue) firstOnce() *classState {
-	return q.first(func(c *classState) *list.List { return &c.once }, func(*classState) bool { return true })
+// nextOneShotClass returns the class whose first one-shot call has the highest priority, or
+// arrived first among equals; nil if none waits. Reservations don't apply: they restrict classes
+// that are well within their targets, as the short lookups of work in progress always are.
+func (q *Queue) nextOneShotClass() *classState {
+	return q.firstClass(func(c *classState) *list.List { return &c.oneShot }, func(*classState) bool { return true })
 }
 
-// firstOverdue returns the same of those overdue that may take a slot.
-func (q *Queue) firstOverdue() *classState {
-	return q.first(func(c *classState) *list.List { return &c.overdue }, q.mayStart)
+// nextOverdueClass returns the same for overdue calls of classes that may take a slot.
+func (q *Queue) nextOverdueClass() *classState {
+	return q.firstClass(func(c *classState) *list.List { return &c.overdue }, q.mayStart)
 }
 
-func (q *Queue) first(lane func(*classState) *list.List, may func(*classState) bool) *classState {
+func (q *Queue) firstClass(lane func(*classState) *list.List, allowed func(*classState) bool) *classState {
 	var best *classState
 	for _, c := range q.ordered {
-		if lane(c).Len() == 0 || !may(c) {
+		if lane(c).Len() == 0 || !allowed(c) {
 			continue
 		}
-		if best == nil || goesBefore(head(lane(c)), head(lane(best))) {
+		if best == nil || startsBefore(head(lane(c)), head(lane(best))) {
 			best = c
 		}
 	}
 	return best
 }
 
-func goesBefore(a, b *Entry) bool {
+// startsBefore reports whether a starts before b: by priority, then by arrival.
+func startsBefore(a, b *Entry) bool {
 	if a.priority() != b.priority() {
 		return a.priority() > b.priority()
 	}
 	return a.before(b)
 }
 
-// startFrom starts the first call of a lane, or refuses it if it could not be answered
-// by its deadline.
-func (q *Queue) startFrom(now time.Time, lane *list.List) {
-	if e := head(lane); !q.useless(now, e) {
-		q.startWaiting(now, e)
+// startHead starts the first call of a lane, or refuses it if it cannot be answered by
+// its deadline.
+func (q *Queue) startHead(now time.Time, lane *list.List) {
+	if e := head(lane); !q.refuseIfTooLate(now, e) {
+		q.dequeueAndStart(now, e)
 	}
 }
 
-// lastOverdue returns the call of the least priority that was put off last, or nil.
-func (q *Queue) lastOverdue() *Entry {
+// overdueVictim returns the overdue call to refuse first: the last one of the lowest
+// priority, or nil.
+func (q *Queue) overdueVictim() *Entry {
 	var victim *Entry
 	for _, c := range q.ordered {
 		if last := c.overdue.Back(); last != nil && (victim == nil || last.Value.(*Entry).priority() < victim.priority()) {
--- a/internal/limit/queue.go
+++ b/internal/limit/queue.go
@@ -10,9 +10,9 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// otherClass stands for every class that the configuration in force here does
+// unknownClass stands for every class that the configuration in force here does
 // not name. An entry node on a newer version may send one.
-const otherClass = ""
+const unknownClass = ""
 
 type entryState uint8
 
@@ -25,51 +25,51 @@
 
 // Entry is one call in a Queue. Its zero value is ready for Offer.
 type Entry struct {
-	// FirstAttempt is when the caller first asked, if it was refused before and came back;
-	// zero means that it asks now.
+	// FirstAttempt is when the caller first sent the call, if this is a retry; zero
+	// means now.
 	FirstAttempt time.Time
-	// OneShot says that the caller will not come back when it is refused.
+	// OneShot reports that the caller does not retry a refused call.
 	OneShot bool
-	// NoWait says that the call is to start now or be refused as busy.
+	// NoWait refuses the call at once as busy if no slot is free.
 	NoWait bool
 	Caller Caller
 
 	class    *classState
 	arrived  time.Time
 	deadline time.Time
-	// until is the moment after which the call waits no more; zero for none.
-	until   time.Time
-	started time.Time
-	// overdue says that the call can only be answered later than its class aims at.
+	// waitUntil is when the call stops waiting; zero means never.
+	waitUntil time.Time
+	started   time.Time
+	// overdue reports whether the call can no longer meet its class's latency target.
 	overdue  bool
 	sequence uint64
 	state    entryState
-	// busy is how many calls ran when this one started, itself included.
-	busy    int
-	element *list.Element
-	notify  func(*call.Refusal)
+	// busyAtStart is how many calls ran when this one started, itself included.
+	busyAtStart int
+	element     *list.Element
+	notify      func(*call.Refusal)
 }
 
 func (e *Entry) before(o *Entry) bool { return e.sequence < o.sequence }
 
-// Event tells that a waiting call was started or, with a refusal, that it was
-// not and never will be.
+// Event reports that a waiting call was started or, if Refusal is set, refused.
 type Event struct {
 	Entry   *Entry
 	Refusal *call.Refusal
 }
 
-// QueueOptions are the parts of a Queue that tests and measurements replace.
+// QueueOptions configures a Queue. FixedLimit, NoYielding and NoPrediction switch
+// off parts of it for comparison in tests and measurements.
 type QueueOptions struct {
 	Order Order      // OvertakingCap over EarliestTarget when nil
-	Rand  *rand.Rand // spreads RetryAfter; must not be nil
+	Rand  *rand.Rand // jitters RetryAfter; must not be nil
 	// FixedLimit keeps the limit at the announced slots.
 	FixedLimit bool
-	// NoYielding reserves no slots and refuses the newcomer when the queue is
+	// NoYielding reserves no slots, and refuses a new call when the queue is
 	// full.
 	NoYielding bool
-	// NoPrediction bounds the queue by number and deadline only, and runs
-	// calls that are late for their class's target in their turn.
+	// NoPrediction bounds the queue by length and deadline only, and starts
+	// calls in order of arrival even if they miss their latency target.
 	NoPrediction bool
 }
 
@@ -79,21 +79,22 @@
 	cfg      Config
 	classes  map[string]*classState
 	ordered  []*classState // by name, so that decisions don't follow map order
-	adaptive adaptive
+	adaptive adaptiveLimit
 	running  int
 	waiting  int
 	sequence uint64
 	draining bool
-	// doneEvery is the average time between two ends while calls waited.
-	doneEvery   average
-	lastDone    time.Time
-	windowEnd   time.Time
-	candidates  []*classState // scratch
-	events      []Event
-	calmWindows int
+	// completionInterval is the average time between two completions while
+	// calls were waiting.
+	completionInterval average
+	lastCompletion     time.Time
+	windowEnd          time.Time
+	candidates         []*classState // scratch
+	events             []Event
+	windowsWithoutMiss int
 }
 
-// NewQueue returns a Queue of one slot and no classes.
+// NewQueue returns a Queue with one slot and no classes.
 func NewQueue(o QueueOptions) *Queue {
 	if o.Order == nil {
 		o.Order = defaultOrder()
@@ -103,15 +104,15 @@
 	return q
 }
 
-// Configure takes a new configuration. Calls that run or wait are kept, those
-// of a class that is gone too. It ends a drain.
+// Configure applies a new configuration and ends a drain. Running and waiting
+// calls are kept, also those of a removed class.
 func (q *Queue) Configure(now time.Time, cfg Config) {
 	cfg = cfg.withDefaults()
 	q.draining = false
-	q.moveUpTo(q.cfg.Slots, cfg.Slots)
+	q.resizeUnreserved(q.cfg.Slots, cfg.Slots)
 	if q.adaptive.setSlots(cfg.Slots) {
 		for _, c := range q.ordered {
-			c.light = average{}
+			c.lightServiceTime = average{}
 		}
 	}
 	q.cfg = cfg
@@ -120,36 +121,35 @@
 		named[c.Name] = true
 		q.setClass(now, c)
 	}
-	if !named[otherClass] {
-		named[otherClass] = true
-		q.setClass(now, Class{Name: otherClass, Priority: config.DefaultPriority})
+	if !named[unknownClass] {
+		named[unknownClass] = true
+		q.setClass(now, Class{Name: unknownClass, Priority: config.DefaultPriority})
 	}
 	q.dropClasses(named)
 	q.dispatch(now)
 }
 
-// moveUpTo lets the classes that nothing is reserved from use all of a new number
-// of slots. Otherwise a backend server that announces more slots would wait for
-// them to be released one by one, as reservations are.
-func (q *Queue) moveUpTo(old, slots int) {
+// resizeUnreserved allows the unrestricted classes all of a new number of slots.
+// Otherwise added slots would become usable one by one, as reserved slots do.
+func (q *Queue) resizeUnreserved(old, slots int) {
 	for _, c := range q.ordered {
-		if c.upTo >= old {
-			c.upTo = slots
+		if c.allowedSlots >= old {
+			c.allowedSlots = slots
 		}
 	}
 }
 
 func (q *Queue) setClass(now time.Time, c Class) {
-	st := q.classes[c.Name]
-	if st == nil {
-		st = &classState{upTo: q.cfg.Slots, inOrder: q.options.NoPrediction, rate: NewRateLimiter(now, c.RatePerSecond)}
-		q.classes[c.Name] = st
+	state := q.classes[c.Name]
+	if state == nil {
+		state = &classState{allowedSlots: q.cfg.Slots, alwaysFIFO: q.options.NoPrediction, rate: NewRateLimiter(now, c.RatePerSecond)}
+		q.classes[c.Name] = state
 	}
-	if st.RatePerSecond != c.RatePerSecond {
-		st.rate.SetRate(now, c.RatePerSecond)
+	if state.RatePerSecond != c.RatePerSecond {
+		state.rate.SetRate(now, c.RatePerSecond)
 	}
-	st.Class = c
-	st.upTo = min(max(st.upTo, 1), q.cfg.Slots)
+	state.Class = c
+	state.allowedSlots = min(max(state.allowedSlots, 1), q.cfg.Slots)
 }
 
 func (q *Queue) dropClasses(named map[string]bool) {
@@ -170,7 +170,7 @@
 	})
 }
 
-// Limit is how many calls may run at once at present.
+// Limit returns how many calls may run at once at present.
 func (q *Queue) Limit() int {
 	if q.options.FixedLimit {
 		return q.cfg.Slots
@@ -178,13 +178,13 @@
 	return q.adaptive.limit()
 }
 
-// Load returns the calls running and the present limit.
+// Load returns the number of running calls and the present limit.
 func (q *Queue) Load() (busy, slots int) { return q.running, q.Limit() }
 
-// Waiting returns how many calls wait.
+// Waiting returns the number of waiting calls.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// Drain refuses the calls that wait and all that come.
+// Drain refuses the waiting calls, and all new ones until Configure is called.
 func (q *Queue) Drain(now time.Time) {
 	q.draining = true
 	for _, c := range q.ordered {
@@ -196,21 +196,21 @@
 	}
 }
 
-// Offer brings a call. When it returns nil, e has either started, which
-// e.Started tells, or waits, and an Event will follow.
+// Offer admits or refuses a call. If it returns nil, e has either started, as
+// e.Started reports, or waits, and an Event will follow.
 func (q *Queue) Offer(now time.Time, e *Entry, class string, deadline time.Time) *call.Refusal {
 	c := q.classes[class]
 	if c == nil {
-		c = q.classes[otherClass]
+		c = q.classes[unknownClass]
 	}
-	q.turnWindow(now)
+	q.rollWindow(now)
 	q.sequence++
 	e.class, e.arrived, e.deadline, e.sequence = c, now, deadline, q.sequence
 	if e.FirstAttempt.IsZero() {
 		e.FirstAttempt = now
 	}
-	e.overdue = !e.OneShot && !q.options.NoPrediction && c.late(e, now)
-	e.until = q.waitsUntil(now, e)
+	e.overdue = !e.OneShot && !q.options.NoPrediction && c.likelyLate(e, now)
+	e.waitUntil = q.waitsUntil(now, e)
 	if q.draining {
 		return q.refuse(now, c, call.ReasonDraining, "")
 	}
@@ -226,7 +226,8 @@
 		return nil
 	}
 	if e.NoWait {
-		// No miss of the class: its call goes on to look for a free slot elsewhere.
+		// Not counted as a miss of the class: its call is sent on to find a free
+		// slot at another endpoint.
 		c.rate.GiveBack(now)
 		c.stats.Busy++
 		return &call.Refusal{Reason: call.ReasonBusy}
@@ -243,18 +244,18 @@
 func (q *Queue) enqueue(e *Entry) {
 	e.state = entryWaiting
 	q.waiting++
-	e.element = e.class.place(e)
-	e.count(1, 0)
+	e.element = e.class.enqueue(e)
+	e.addToWorkspace(1, 0)
 }
 
 // Started reports whether the call holds a slot.
 func (e *Entry) Started() bool { return e.state == entryRunning }
 
-// WaitsUntil returns the moment after which a call that waits must be given to Expire, or
-// zero for none.
-func (e *Entry) WaitsUntil() time.Time { return e.until }
+// WaitsUntil returns when a waiting call must be passed to Expire; zero means never.
+func (e *Entry) WaitsUntil() time.Time { return e.waitUntil }
 
-// Done takes the slot of a call that has ended.
+// Done frees the slot of a call that has ended. It does nothing for a call that is
+// not running.
 func (q *Queue) Done(now time.Time, e *Entry, r Result) {
 	if e.state != entryRunning {
 		return
@@ -262,35 +263,35 @@
 	e.state = entryEnded
 	c := e.class
 	c.running--
-	e.count(0, -1)
+	e.addToWorkspace(0, -1)
 	q.running--
-	q.learn(now, e, r)
-	q.turnWindow(now)
+	q.recordResult(now, e, r)
+	q.rollWindow(now)
 	q.dispatch(now)
 }
 
-// Expire refuses a call that waits and has done so for as long as it may. It
-// returns nil if the call has started or ended already.
+// Expire refuses a waiting call at the end of its time to wait. It returns nil if
+// the call has already started or ended.
 func (q *Queue) Expire(now time.Time, e *Entry) *call.Refusal {
 	if e.state != entryWaiting {
 		return nil
 	}
-	q.remove(e)
+	q.dequeue(e)
 	e.class.rate.GiveBack(now)
 	defer q.dispatch(now)
 	if !e.class.expired(e, now) {
-		return q.refuse(now, e.class, q.overReason(e.class), "no slot came free in its time to wait")
+		return q.refuse(now, e.class, q.overloadReason(e.class), "no slot came free in its time to wait")
 	}
 	return q.refuse(now, e.class, call.ReasonExpired, "waited past its deadline")
 }
 
-// Abandon removes a call that waits, because its caller gave up or its deadline
-// passed. It reports false if the call has started or ended already.
+// Abandon removes a waiting call whose caller gave up or whose deadline passed. It
+// reports false if the call has already started or ended.
 func (q *Queue) Abandon(now time.Time, e *Entry) bool {
 	if e.state != entryWaiting {
 		return false
 	}
-	q.remove(e)
+	q.dequeue(e)
 	e.class.rate.GiveBack(now)
 	if e.class.expired(e, now) {
 		e.class.stats.Expired++
@@ -299,9 +300,9 @@
 	return true
 }
 
-// Tick refuses the calls whose deadline has passed.
+// Tick refuses the waiting calls whose deadline has passed.
 func (q *Queue) Tick(now time.Time) {
-	q.turnWindow(now)
+	q.rollWindow(now)
 	for _, c := range q.ordered {
 		for _, lane := range c.lanes() {
 			for el := lane.Front(); el != nil; {
@@ -316,15 +317,15 @@
 	q.dispatch(now)
 }
 
-// Events returns what happened to waiting calls since it was last called. The
-// slice is good until the next call of any method.
+// Events returns the events of waiting calls since it was last called. The slice
+// is valid until the next call of any method.
 func (q *Queue) Events() []Event {
 	ev := q.events
 	q.events = q.events[:0]
 	return ev
 }
 
-// Stats returns the state of each class, by name.
+// Stats returns the state of each class, sorted by name.
 func (q *Queue) Stats(now time.Time) []ClassStats {
 	out := make([]ClassStats, len(q.ordered))
 	for i, c := range q.ordered {
@@ -332,8 +333,8 @@
 		out[i].Class = c.Name
 		out[i].Running = c.running
 		out[i].Waiting = c.queued()
-		out[i].AllowedSlots = min(c.upTo, q.Limit())
-		out[i].LatencyRatio = c.standing()
+		out[i].AllowedSlots = min(c.allowedSlots, q.Limit())
+		out[i].LatencyRatio = c.latencyRatio()
 	}
 	return out
 }
--- a/internal/limit/queue_bounds_test.go
+++ b/internal/limit/queue_bounds_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever comes in whatever order, a queue never runs more than the announced
-// slots, starts or refuses each call once, starts none past its deadline, and
-// leaves no slot idle for ever while calls wait.
-func TestQueueKeepsItsBounds(t *testing.T) {
+// Guards the invariants of the queue under any order of events: it runs at most the
+// announced slots, starts or refuses each call once, starts none past its deadline,
+// and does not leave all slots idle while calls wait.
+func TestQueueInvariants(t *testing.T) {
 	classes := []Class{
 		{Name: "a", AnswerWithin: 20 * time.Millisecond},
 		{Name: "b", AnswerWithin: time.Second, Priority: 2, Share: 0.3},
@@ -26,7 +26,7 @@
 			for _, ev := range q.Events() {
 				i := indexOf(waiting, ev.Entry)
 				if i < 0 {
-					t.Fatal("an event for a call that does not wait")
+					t.Fatal("event for a call that does not wait")
 				}
 				waiting = append(waiting[:i], waiting[i+1:]...)
 				if ev.Refusal != nil {
@@ -73,7 +73,7 @@
 				running = append(running[:i], running[i+1:]...)
 				q.Done(now, e, Result{Latency: now.Sub(e.started), Failed: rapid.Bool().Draw(t, "failed"),
 					Shed: rapid.IntRange(0, 9).Draw(t, "shed") == 0})
-				q.Done(now, e, Result{}) // a second release does nothing
+				q.Done(now, e, Result{}) // a second Done does nothing
 				check()
 			},
 			"abandon": func(t *rapid.T) {
@@ -115,21 +115,21 @@
 	return -1
 }
 
-// All classes call at four times what the backend server can do, once and with
-// callers that send again. What is answered of the class with the tightest
-// target must be in time, and the backend server must be kept busy.
+// Guards against late answers at four times capacity, with and without retries: the
+// answers of the class with the tightest target must be in time, and the backend
+// server must stay busy.
 func TestTightestTargetHoldsAtFourTimesCapacity(t *testing.T) {
-	us, base := ours(0), baseline()
-	us.lasts, base.lasts = 5*time.Second, 5*time.Second
+	ours, fixed := defaultPolicy(0), baseline()
+	ours.duration, fixed.duration = 5*time.Second, 5*time.Second
 	for _, attempts := range []int{1, 4} {
-		r := us.simulate(4, attempts, nil)
+		r := ours.simulate(4, attempts, nil)
 		c := r.classes["lookups"]
 		if c.answered == 0 || percent(c.onTarget, c.answered) < 95 || r.useful < 0.9 {
-			t.Error(fmt.Sprintf("attempts %d: ", attempts) + row("ours", r))
+			t.Error(fmt.Sprintf("attempts %d: ", attempts) + tableRow("default", r))
 		}
-		b := base.simulate(4, attempts, nil).classes["lookups"]
+		b := fixed.simulate(4, attempts, nil).classes["lookups"]
 		if c.onTarget <= b.onTarget {
-			t.Errorf("%d lookups on target, baseline %d", c.onTarget, b.onTarget)
+			t.Errorf("%d lookups on target, not more than the baseline's %d", c.onTarget, b.onTarget)
 		}
 	}
 }
--- a/internal/limit/queue_test.go
+++ b/internal/limit/queue_test.go
@@ -19,7 +19,7 @@
 
 func at(d time.Duration) time.Time { return simStart.Add(d) }
 
-// offer offers a call that must not be refused.
+// offer offers a call, and fails the test if it is refused.
 func offer(t *testing.T, q *Queue, now time.Time, class string) *Entry {
 	t.Helper()
 	e := &Entry{}
@@ -32,33 +32,32 @@
 func wantReason(t *testing.T, r *call.Refusal, want call.Reason) {
 	t.Helper()
 	if r == nil || r.Reason != want {
-		t.Errorf("got %v, want a refusal as %q", r, want)
+		t.Errorf("got %v, want refusal %q", r, want)
 	}
 }
 
-// Archive pulls fill all slots of an idle backend server, which they may. Then
-// an owner's lookup waits beside one more archive pull that came first. The
-// next free slot must go to the lookup, because the archive class is over its
-// share, and no running pull may be stopped for it.
-func TestClassOverShareYieldsFreedSlots(t *testing.T) {
+// Guards shares: archive calls may fill all slots of an idle backend server, but the next
+// freed slot goes to a waiting lookup, even behind an archive call that came first. No
+// running call is preempted.
+func TestClassOverItsShareYieldsFreedSlots(t *testing.T) {
 	q := newTestQueue(Config{Slots: 4, Classes: []Class{{Name: "archive", Share: 0.25}, {Name: "lookups"}}})
 	var running []*Entry
 	for range 4 {
 		running = append(running, offer(t, q, at(0), "archive"))
 	}
-	pull := offer(t, q, at(1*time.Millisecond), "archive")
+	archive := offer(t, q, at(1*time.Millisecond), "archive")
 	lookup := offer(t, q, at(2*time.Millisecond), "lookups")
 	if lookup.Started() || q.running != 4 {
-		t.Fatal("a running pull was stopped")
+		t.Fatal("a running archive call was preempted")
 	}
 	q.Done(at(time.Second), running[0], Result{Latency: time.Second})
-	if !lookup.Started() || pull.Started() {
-		t.Errorf("lookup started %v, pull started %v", lookup.Started(), pull.Started())
+	if !lookup.Started() || archive.Started() {
+		t.Errorf("lookup started %v, archive call started %v", lookup.Started(), archive.Started())
 	}
 }
 
-// A lookup waits behind a slow call until its deadline has passed. It must be
-// refused as not run and never start, however late the slot comes free.
+// Guards against work for a caller that has left: a call whose deadline passes while it
+// waits is refused and never starts.
 func TestExpiredCallNeverStarts(t *testing.T) {
 	q := newTestQueue(Config{Slots: 1})
 	first := offer(t, q, at(0), "x")
@@ -74,7 +73,7 @@
 	wantReason(t, events[0].Refusal, call.ReasonExpired)
 }
 
-func TestFullQueueRefusesClassOfLowestPriority(t *testing.T) {
+func TestFullQueueRefusesLowestPriorityClass(t *testing.T) {
 	q := newTestQueue(Config{Slots: 1, MaxWaiting: 2, Classes: []Class{
 		{Name: "bulk", Priority: 1}, {Name: "bookings", Priority: 9},
 	}})
@@ -90,7 +89,7 @@
 	wantReason(t, events[0].Refusal, call.ReasonOverloaded)
 }
 
-func TestRateOfClassIsBounded(t *testing.T) {
+func TestClassRateIsLimited(t *testing.T) {
 	q := newTestQueue(Config{Slots: 100, Classes: []Class{{Name: "x", RatePerSecond: RatePerBackend(100, 10)}}})
 	admitted := 0
 	for i := range 1000 {
@@ -108,19 +107,18 @@
 	}
 }
 
-// Archive pulls may run ten times a second. A full queue refuses one, or its
-// caller gives up while it waits, or it gives way, and nothing was run. The next
-// one, sent when a slot is free, was refused as over the rate.
-func TestCallThatNeverStartsSpendsNoRate(t *testing.T) {
+// Guards against rate tokens lost to calls that never start, because they are refused,
+// abandoned or displaced: later calls would be refused as over the rate.
+func TestCallThatNeverStartsDoesNotUseRate(t *testing.T) {
 	classes := []Class{{Name: "pulls", RatePerSecond: 10, Priority: 1}, {Name: "lookups", Priority: 9}}
-	for name, loses := range map[string]func(t *testing.T, q *Queue){
+	for name, prevent := range map[string]func(t *testing.T, q *Queue){
 		"refused": func(t *testing.T, q *Queue) {
 			offer(t, q, at(0), "lookups")
 			wantReason(t, q.Offer(at(0), &Entry{}, "pulls", time.Time{}), call.ReasonOverloaded)
 		},
 		"gives up": func(t *testing.T, q *Queue) {
 			if !q.Abandon(at(0), offer(t, q, at(0), "pulls")) {
-				t.Error("did not wait")
+				t.Error("the call did not wait")
 			}
 		},
 		"gives way": func(t *testing.T, q *Queue) {
@@ -132,7 +130,7 @@
 		t.Run(name, func(t *testing.T) {
 			q := newTestQueue(Config{Slots: 1, MaxWaiting: 1, Classes: classes})
 			first := offer(t, q, at(0), "lookups")
-			loses(t, q)
+			prevent(t, q)
 			q.Done(at(0), first, Result{})
 			offer(t, q, at(0), "pulls")
 			wantReason(t, q.Offer(at(0), &Entry{}, "pulls", time.Time{}), call.ReasonOverRate)
@@ -148,19 +146,18 @@
 	wantReason(t, q.Events()[0].Refusal, call.ReasonDraining)
 	wantReason(t, q.Offer(at(0), &Entry{}, "x", time.Time{}), call.ReasonDraining)
 	if !running.Started() {
-		t.Error("a running call was stopped")
+		t.Error("a running call was preempted")
 	}
 }
 
-// A booking waits for a slot until a tenth of a second of its time is left, where
-// bookings take three times that. Started, it is cut off at its deadline: its work
-// is lost, and its caller told that nobody knows whether it ran. It has to be refused
-// while it is certain that it did not.
-func TestHopelessCallsAreNotStarted(t *testing.T) {
+// Guards against calls started with too little time left: such a call is cut off at its
+// deadline, its work is lost and its outcome is unknown. Here 100 ms are left to a booking
+// that takes 300 ms, so it must be refused.
+func TestCallsWithTooLittleTimeAreNotStarted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := NewQueue(QueueOptions{Rand: rand.New(rand.NewPCG(1, 2))})
 	q.Configure(now, Config{Slots: 1, Classes: []Class{{Name: "book"}}})
-	for range minLight {
+	for range minLightSamples {
 		var e Entry
 		if r := q.Offer(now, &e, "book", now.Add(time.Second)); r != nil {
 			t.Fatal(r)
@@ -179,6 +176,6 @@
 	q.Done(now, &running, Result{Latency: 300 * time.Millisecond})
 	ev := q.Events()
 	if len(ev) != 1 || ev[0].Refusal == nil || ev[0].Refusal.Reason != call.ReasonExpired {
-		t.Errorf("events: %+v", ev)
+		t.Errorf("events %+v, want one refusal past the deadline", ev)
 	}
 }
--- a/internal/limit/rate.go
+++ b/internal/limit/rate.go
@@ -7,18 +7,18 @@
 	"golang.org/x/time/rate"
 )
 
-// RateLimiter bounds how many calls of one class are admitted in a second. It is safe
-// for concurrent use.
+// RateLimiter limits how many calls of one class are admitted per second. It is
+// safe for concurrent use.
 type RateLimiter struct {
-	mu sync.Mutex
-	l  *rate.Limiter
+	mu      sync.Mutex
+	limiter *rate.Limiter
 }
 
-// RatePerBackend returns one backend server's part of a bound on the whole mesh. The
-// bound is enforced at the destinations, where the number of backend servers of
-// the service is known from the membership, so that no loads have to be sent
-// between nodes; a call refused at one is tried at another, and finds the part
-// that is left there.
+// RatePerBackend returns one backend server's part of a rate limit on the whole
+// mesh. The limit is enforced at the destinations, where the number of backend
+// servers of the service is known from the membership, so that nodes need not
+// exchange their rates. A call refused at one destination is retried at another
+// and uses the part left there.
 func RatePerBackend(perSecond float64, backends int) float64 {
 	if perSecond <= 0 {
 		return 0
@@ -26,46 +26,48 @@
 	return perSecond / float64(max(backends, 1))
 }
 
-// burstSeconds is how much of a second's rate may be admitted at once.
+// burstSeconds is the burst size, in seconds at the full rate.
 const burstSeconds = 0.1
 
-// NewRateLimiter returns a bound of perSecond calls; zero or less means no bound.
+// NewRateLimiter returns a limiter to perSecond calls per second; zero or less
+// means no limit.
 func NewRateLimiter(now time.Time, perSecond float64) *RateLimiter {
-	r := &RateLimiter{l: rate.NewLimiter(0, 1)}
+	r := &RateLimiter{limiter: rate.NewLimiter(0, 1)}
 	r.SetRate(now, perSecond)
 	return r
 }
 
-// SetRate changes the bound to perSecond calls; zero or less means no bound.
+// SetRate changes the limit to perSecond calls per second; zero or less means no
+// limit.
 func (r *RateLimiter) SetRate(now time.Time, perSecond float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if perSecond <= 0 {
-		r.l.SetLimitAt(now, rate.Inf)
+		r.limiter.SetLimitAt(now, rate.Inf)
 		return
 	}
-	r.l.SetLimitAt(now, rate.Limit(perSecond))
-	r.l.SetBurstAt(now, max(1, int(perSecond*burstSeconds)))
+	r.limiter.SetLimitAt(now, rate.Limit(perSecond))
+	r.limiter.SetBurstAt(now, max(1, int(perSecond*burstSeconds)))
 }
 
-// GiveBack takes back that a call was allowed, since it was never started.
+// GiveBack returns the token of a call that was allowed but never started.
 //
-// It guards the rate of a class under overload: were each call that a full queue
-// refuses to count, a class would be refused as over its rate while far fewer of
-// its calls run.
+// If calls refused by a full queue kept their tokens, an overloaded class would be
+// refused as over its rate while far fewer of its calls run.
 func (r *RateLimiter) GiveBack(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// A Reservation can't be cancelled once its moment has passed, which for an
-	// allowed call is at once. The limiter itself bounds its tokens to the burst.
-	r.l.ReserveN(now, -1)
+	// A Reservation can't be cancelled once its time has passed, which for an
+	// allowed call is at once. The limiter itself limits its tokens to the burst.
+	r.limiter.ReserveN(now, -1)
 }
 
-// Allow reports whether a call may go now and, if not, when to come back.
+// Allow reports whether a call is allowed now and, if not, after which delay it
+// will be.
 func (r *RateLimiter) Allow(now time.Time) (ok bool, retryAfter time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	res := r.l.ReserveN(now, 1)
+	res := r.limiter.ReserveN(now, 1)
 	delay := res.DelayFrom(now)
 	if delay <= 0 {
 		return true, 0
--- a/internal/limit/rate_test.go
+++ b/internal/limit/rate_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestRateBoundsAndTellsWhenToComeBack(t *testing.T) {
+func TestRateLimiterRefusesWithRetryAfter(t *testing.T) {
 	r := NewRateLimiter(simStart, 10)
 	if ok, _ := r.Allow(simStart); !ok {
 		t.Fatal("the first call was refused")
@@ -16,19 +16,19 @@
 		t.Errorf("Allow = %v, %v; want a refusal for 100 ms", ok, after)
 	}
 	if ok, _ := r.Allow(at(100 * time.Millisecond)); !ok {
-		t.Error("refused when it was told to come back")
+		t.Error("refused after the returned delay")
 	}
 	r.SetRate(at(0), 0)
 	for range 1000 {
 		if ok, _ := r.Allow(at(0)); !ok {
-			t.Fatal("refused without a bound")
+			t.Fatal("refused without a limit")
 		}
 	}
 }
 
-// A class that was refused often by full queues gave back more than it had taken,
-// and then ran far over its rate at once. What is given back stays in the burst.
-func TestGivenBackStaysWithinTheBurst(t *testing.T) {
+// Guards against a class that runs far over its rate after many refusals by full queues:
+// returned tokens stay within the burst.
+func TestGiveBackStaysWithinBurst(t *testing.T) {
 	r := NewRateLimiter(simStart, 10)
 	for range 50 {
 		r.GiveBack(simStart)
@@ -41,21 +41,21 @@
 	}
 	r.GiveBack(simStart)
 	if ok, _ := r.Allow(simStart); !ok {
-		t.Error("what was given back is lost")
+		t.Error("the returned token is lost")
 	}
 }
 
 const (
 	rateBackends = 9
-	rateGroup    = 3 // backend servers a data centre
+	rateGroup    = 3 // backend servers per data centre
 	rateTarget   = 900.0
 )
 
-// rateTrial sends calls for ten seconds, 80 in 100 of them from one of three
-// data centres, to a backend server of their own data centre and, when refused,
-// to others at random up to the given number of tries. It returns the calls
-// admitted and offered in a second.
-func rateTrial(demand float64, tries int) (admitted, offered float64) {
+// simulateRate sends calls for ten seconds, 80% of them from one of three data
+// centres, to a backend server of their own data centre and, when refused, to
+// random others, up to the given number of attempts. It returns the calls admitted
+// and offered per second.
+func simulateRate(demand float64, attempts int) (admitted, offered float64) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var backends []*RateLimiter
 	for range rateBackends {
@@ -71,7 +71,7 @@
 		}
 		offered++
 		b := centre*rateGroup + rng.IntN(rateGroup)
-		for range tries {
+		for range attempts {
 			if ok, _ := backends[b].Allow(now); ok {
 				admitted++
 				break
@@ -82,20 +82,20 @@
 	return admitted / seconds, offered / seconds
 }
 
-// Nearly all callers of a class with a rate are in one data centre. What is
-// admitted must stay within the bound, and with two further tries a demand below
-// the bound must hardly be refused.
+// Guards rate limits under skewed demand, with most callers in one data centre: the
+// admitted rate stays within the limit, and with two retries a demand below the limit
+// is hardly refused.
 func TestRateUnderSkewedDemand(t *testing.T) {
 	burst := rateTarget * burstSeconds / 10 // spread over the ten seconds
 	for _, demand := range []float64{450, 800, 900, 1800} {
-		for _, tries := range []int{1, 2, 3, 4} {
-			admitted, offered := rateTrial(demand, tries)
-			t.Logf("demand %4.0f/s, tries %d: admitted %5.1f/s of %5.1f/s, bound %.0f/s", demand, tries, admitted, offered, rateTarget)
+		for _, attempts := range []int{1, 2, 3, 4} {
+			admitted, offered := simulateRate(demand, attempts)
+			t.Logf("demand %4.0f/s, attempts %d: admitted %5.1f/s of %5.1f/s, limit %.0f/s", demand, attempts, admitted, offered, rateTarget)
 			if admitted > rateTarget+burst {
-				t.Errorf("admitted %.1f/s over a bound of %.0f/s", admitted, rateTarget)
+				t.Errorf("admitted %.1f/s over a limit of %.0f/s", admitted, rateTarget)
 			}
-			if tries >= 3 && demand <= 800 && admitted < 0.95*offered {
-				t.Errorf("admitted %.1f/s of %.1f/s, below the bound", admitted, offered)
+			if attempts >= 3 && demand <= 800 && admitted < 0.95*offered {
+				t.Errorf("admitted %.1f/s of %.1f/s, though demand is below the limit", admitted, offered)
 			}
 		}
 	}
--- a/internal/limit/sim_test.go
+++ b/internal/limit/sim_test.go
@@ -9,53 +9,54 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// simClass is a class of work as the simulated callers send it.
+// simClass is a class of work with the behaviour of its simulated callers.
 type simClass struct {
 	Class
-	work     time.Duration // mean service time
-	part     float64       // of the backend server's capacity at load one
-	deadline time.Duration
+	meanWork      time.Duration // mean service time
+	capacityShare float64       // share of the backend server's capacity at load one
+	deadline      time.Duration
 }
 
-// simSender is a workspace and its part of all calls.
+// simSender is a workspace and its share of all calls.
 type simSender struct {
 	Caller
-	part float64
+	share float64
 }
 
-// simulation is one backend server under a Queue, in simulated time.
+// simulation is one backend server behind a Queue, in simulated time.
 type simulation struct {
-	classes []simClass
-	slots   int // announced
-	real    int // that the backend server truly has
-	load    float64
-	// loadLater takes the place of load after a third of the time.
-	loadLater float64
-	flood     map[string]float64 // load of single classes, in place of load
-	lasts     time.Duration
-	seed      uint64
-	attempts  int // that a refused caller makes in all; one means no retry
-	// retryEvery is the pause of callers that don't heed RetryAfter.
-	retryEvery time.Duration
-	// forget leaves the queue without the word of when a returning caller first asked.
-	forget bool
-	// once are the classes whose callers don't come back, as the queue is told.
-	once       map[string]bool
+	classes        []simClass
+	announcedSlots int
+	realSlots      int // that the backend server has
+	load           float64
+	// laterLoad replaces load after a third of the time.
+	laterLoad  float64
+	classLoads map[string]float64 // load of single classes, instead of load
+	duration   time.Duration
+	seed       uint64
+	attempts   int // per call, including the first; one means no retry
+	// retryPause is the pause of callers that ignore RetryAfter.
+	retryPause time.Duration
+	// hideFirstAttempt does not report the time of the first attempt to the queue.
+	hideFirstAttempt bool
+	// oneShot holds the classes whose calls are reported to the queue as one-shot.
+	oneShot    map[string]bool
 	options    QueueOptions
 	maxWaiting int
-	// senders are the workspaces that calls come from; none means calls without one.
+	// senders are the workspaces that calls come from; none means calls without a workspace.
 	senders []simSender
-	// unknownSenders leaves the queue without the word of a call's workspace.
-	unknownSenders bool
-	// lag multiplies all service times from lagFrom on.
-	lag     float64
-	lagFrom time.Duration
+	// hideWorkspaces does not report the workspaces of calls to the queue.
+	hideWorkspaces bool
+	// slowdown multiplies all service times from slowdownFrom on.
+	slowdown     float64
+	slowdownFrom time.Duration
 }
 
 type classResult struct {
-	name                                         string
-	offered, answered, onTarget, gaveUp, ranLate int
-	// inTime counts from the caller's first attempt, onTarget from each.
+	name                                                string
+	offered, answered, onTarget, gaveUp, missedDeadline int
+	// inTime counts answers within the latency target since the first attempt,
+	// onTarget those within it since their own attempt.
 	inTime    int
 	latencies []time.Duration
 }
@@ -71,34 +72,34 @@
 type simResult struct {
 	classes map[string]*classResult
 	senders map[string]*classResult // by workspace
-	// useful is the slot time spent on calls answered by their deadline, over
-	// all the slot time there was.
+	// useful is the fraction of the available slot time spent on calls answered
+	// by their deadline.
 	useful float64
 	limit  int // at the end
 	queue  *Queue
 }
 
-// simCall is one caller's call through its attempts.
+// simCall is one call over all its attempts.
 type simCall struct {
-	class    *simClass
-	asked    time.Time // the first attempt
-	sent     time.Time // this attempt
-	deadline time.Time
-	attempts int
-	work     time.Duration
-	caller   Caller
+	class        *simClass
+	firstAttempt time.Time
+	sentAt       time.Time // time of this attempt
+	deadline     time.Time
+	attempts     int
+	work         time.Duration
+	caller       Caller
 }
 
 type simRun struct {
 	simulation
-	rand   *rand.Rand
-	agenda agenda.Agenda
-	queue  *Queue
-	owners map[*Entry]*simCall
-	out    simResult
-	start  time.Time
-	end    time.Time
-	useful time.Duration
+	rand       *rand.Rand
+	agenda     agenda.Agenda
+	queue      *Queue
+	owners     map[*Entry]*simCall
+	result     simResult
+	start      time.Time
+	end        time.Time
+	usefulTime time.Duration
 }
 
 var simStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -108,92 +109,92 @@
 		simulation: s,
 		rand:       rand.New(rand.NewPCG(s.seed, 1)),
 		owners:     make(map[*Entry]*simCall),
-		out:        simResult{classes: make(map[string]*classResult), senders: make(map[string]*classResult)},
+		result:     simResult{classes: make(map[string]*classResult), senders: make(map[string]*classResult)},
 		start:      simStart,
-		end:        simStart.Add(s.lasts),
+		end:        simStart.Add(s.duration),
 	}
 	o := s.options
 	o.Rand = rand.New(rand.NewPCG(s.seed, 2))
 	r.queue = NewQueue(o)
-	cfg := Config{Slots: s.slots, MaxWaiting: s.maxWaiting}
+	cfg := Config{Slots: s.announcedSlots, MaxWaiting: s.maxWaiting}
 	for i := range s.classes {
 		c := &r.classes[i]
 		cfg.Classes = append(cfg.Classes, c.Class)
-		r.out.classes[c.Name] = &classResult{name: c.Name}
+		r.result.classes[c.Name] = &classResult{name: c.Name}
 		r.arrivals(c)
 	}
 	r.queue.Configure(simStart, cfg)
 	r.agenda.Run()
-	r.out.useful = float64(r.useful) / float64(time.Duration(s.real)*s.lasts)
-	r.out.limit = r.queue.Limit()
-	r.out.queue = r.queue
-	return r.out
+	r.result.useful = float64(r.usefulTime) / float64(time.Duration(s.realSlots)*s.duration)
+	r.result.limit = r.queue.Limit()
+	r.result.queue = r.queue
+	return r.result
 }
 
-func (r *simRun) at(t time.Time, do func(time.Time)) { r.agenda.At(t, do) }
+func (r *simRun) schedule(t time.Time, do func(time.Time)) { r.agenda.At(t, do) }
 
-// arrivals schedules Poisson arrivals of a class, each scheduling the next.
+// arrivals schedules Poisson arrivals of a class; each arrival schedules the next.
 func (r *simRun) arrivals(c *simClass) {
 	rate := func(now time.Time) float64 {
 		load := r.load
-		if f, ok := r.flood[c.Name]; ok {
+		if f, ok := r.classLoads[c.Name]; ok {
 			load = f
 		}
-		if r.loadLater > 0 && now.Sub(r.start) > r.lasts/3 {
-			load = r.loadLater
+		if r.laterLoad > 0 && now.Sub(r.start) > r.duration/3 {
+			load = r.laterLoad
 		}
-		return load * c.part * float64(r.real) / c.work.Seconds()
+		return load * c.capacityShare * float64(r.realSlots) / c.meanWork.Seconds()
 	}
-	rng := rand.New(rand.NewPCG(r.seed, uint64(len(c.Name))*1000+uint64(c.work)))
+	rng := rand.New(rand.NewPCG(r.seed, uint64(len(c.Name))*1000+uint64(c.meanWork)))
 	var next func(time.Time)
 	next = func(now time.Time) {
 		if !now.Before(r.end) {
 			return
 		}
 		spread := 0.5 + 0.5*rng.ExpFloat64()
-		sc := &simCall{class: c, asked: now, sent: now, deadline: now.Add(c.deadline), work: time.Duration(spread * float64(c.work))}
+		sc := &simCall{class: c, firstAttempt: now, sentAt: now, deadline: now.Add(c.deadline), work: time.Duration(spread * float64(c.meanWork))}
 		sc.caller = r.sender(rng)
-		r.each(sc, func(cr *classResult) { cr.offered++ })
+		r.countFor(sc, func(cr *classResult) { cr.offered++ })
 		r.offer(now, sc)
-		r.at(now.Add(time.Duration(rng.ExpFloat64()/rate(now)*float64(time.Second))), next)
+		r.schedule(now.Add(time.Duration(rng.ExpFloat64()/rate(now)*float64(time.Second))), next)
 	}
-	r.at(r.start.Add(time.Duration(rng.ExpFloat64()/rate(r.start)*float64(time.Second))), next)
+	r.schedule(r.start.Add(time.Duration(rng.ExpFloat64()/rate(r.start)*float64(time.Second))), next)
 }
 
-// sender draws the caller of a call.
+// sender draws the caller of a call by the senders' shares.
 func (r *simRun) sender(rng *rand.Rand) Caller {
 	if len(r.senders) == 0 {
 		return Caller{}
 	}
 	left := rng.Float64()
 	for _, s := range r.senders {
-		if left -= s.part; left < 0 {
+		if left -= s.share; left < 0 {
 			return s.Caller
 		}
 	}
 	return r.senders[len(r.senders)-1].Caller
 }
 
-// each gives the results that a call counts for.
-func (r *simRun) each(sc *simCall, count func(*classResult)) {
-	count(r.out.classes[sc.class.Name])
+// countFor applies count to the results of the call's class and workspace.
+func (r *simRun) countFor(sc *simCall, count func(*classResult)) {
+	count(r.result.classes[sc.class.Name])
 	if name := sc.caller.Workspace; name != "" {
-		if r.out.senders[name] == nil {
-			r.out.senders[name] = &classResult{name: name}
+		if r.result.senders[name] == nil {
+			r.result.senders[name] = &classResult{name: name}
 		}
-		count(r.out.senders[name])
+		count(r.result.senders[name])
 	}
 }
 
 func (r *simRun) offer(now time.Time, sc *simCall) {
 	sc.attempts++
-	sc.sent = now
-	e := &Entry{OneShot: r.once[sc.class.Name]}
-	if !r.unknownSenders {
+	sc.sentAt = now
+	e := &Entry{OneShot: r.oneShot[sc.class.Name]}
+	if !r.hideWorkspaces {
 		e.Caller = sc.caller
 	}
-	if !r.forget {
-		e.FirstAttempt = sc.asked
+	if !r.hideFirstAttempt {
+		e.FirstAttempt = sc.firstAttempt
 	}
 	r.owners[e] = sc
 	refused := r.queue.Offer(now, e, sc.class.Name, sc.deadline)
@@ -201,22 +202,23 @@
 		r.refused(now, e, refused)
 	} else if e.Started() {
 		r.started(now, e)
-	} else if !e.until.IsZero() {
-		r.at(e.until, func(now time.Time) { r.expire(now, e) })
+	} else if !e.waitUntil.IsZero() {
+		r.schedule(e.waitUntil, func(now time.Time) { r.expire(now, e) })
 	}
-	r.events(now, e)
+	r.handleEvents(now, e)
 }
 
-// expire ends the wait of a call that still waits, as its Gate does.
+// expire ends the wait of a call that still waits, as a Gate does.
 func (r *simRun) expire(now time.Time, e *Entry) {
-	if why := r.queue.Expire(now, e); why != nil {
-		r.refused(now, e, why)
+	if refusal := r.queue.Expire(now, e); refusal != nil {
+		r.refused(now, e, refusal)
 	}
-	r.events(now, e)
+	r.handleEvents(now, e)
 }
 
-// events handles what happened to waiting calls; self was told by Offer.
-func (r *simRun) events(now time.Time, self *Entry) {
+// handleEvents handles the events of waiting calls, except that of self, whose
+// outcome Offer returned.
+func (r *simRun) handleEvents(now time.Time, self *Entry) {
 	for _, ev := range slices.Clone(r.queue.Events()) {
 		switch {
 		case ev.Entry == self:
@@ -228,37 +230,37 @@
 	}
 }
 
-func (r *simRun) refused(now time.Time, e *Entry, why *call.Refusal) {
+func (r *simRun) refused(now time.Time, e *Entry, refusal *call.Refusal) {
 	sc := r.owners[e]
 	delete(r.owners, e)
-	pause := why.RetryAfter
-	if r.retryEvery > 0 {
-		pause = r.retryEvery
+	pause := refusal.RetryAfter
+	if r.retryPause > 0 {
+		pause = r.retryPause
 	}
-	again := now.Add(pause)
-	if sc.attempts >= r.attempts || !again.Before(sc.deadline) {
-		r.each(sc, func(cr *classResult) { cr.gaveUp++ })
+	retryAt := now.Add(pause)
+	if sc.attempts >= r.attempts || !retryAt.Before(sc.deadline) {
+		r.countFor(sc, func(cr *classResult) { cr.gaveUp++ })
 		return
 	}
-	r.at(again, func(now time.Time) { r.offer(now, sc) })
+	r.schedule(retryAt, func(now time.Time) { r.offer(now, sc) })
 }
 
 func (r *simRun) started(now time.Time, e *Entry) {
 	sc := r.owners[e]
 	took := sc.work
-	if busy, _ := r.queue.Load(); busy > r.real {
-		took = took * time.Duration(busy) / time.Duration(r.real)
+	if busy, _ := r.queue.Load(); busy > r.realSlots {
+		took = took * time.Duration(busy) / time.Duration(r.realSlots)
 	}
-	if r.lag > 0 && now.Sub(r.start) >= r.lagFrom {
-		took = time.Duration(r.lag * float64(took))
+	if r.slowdown > 0 && now.Sub(r.start) >= r.slowdownFrom {
+		took = time.Duration(r.slowdown * float64(took))
 	}
-	r.at(now.Add(took), func(now time.Time) { r.done(now, e, took) })
+	r.schedule(now.Add(took), func(now time.Time) { r.done(now, e, took) })
 }
 
 func (cr *classResult) ended(now time.Time, sc *simCall) {
-	total := now.Sub(sc.sent)
+	total := now.Sub(sc.sentAt)
 	if now.After(sc.deadline) {
-		cr.ranLate++
+		cr.missedDeadline++
 		return
 	}
 	cr.answered++
@@ -266,7 +268,7 @@
 	if total <= sc.class.AnswerWithin {
 		cr.onTarget++
 	}
-	if now.Sub(sc.asked) <= sc.class.AnswerWithin {
+	if now.Sub(sc.firstAttempt) <= sc.class.AnswerWithin {
 		cr.inTime++
 	}
 }
@@ -274,16 +276,16 @@
 func (r *simRun) done(now time.Time, e *Entry, took time.Duration) {
 	sc := r.owners[e]
 	delete(r.owners, e)
-	r.each(sc, func(cr *classResult) { cr.ended(now, sc) })
+	r.countFor(sc, func(cr *classResult) { cr.ended(now, sc) })
 	if !now.After(sc.deadline) && !now.After(r.end) {
-		r.useful += sc.work
+		r.usefulTime += sc.work
 	}
 	r.queue.Done(now, e, Result{Latency: took})
-	r.events(now, nil)
+	r.handleEvents(now, nil)
 }
 
-// usualMix is a service whose slots cheap lookups, bookings and archive pulls
-// share.
+// usualMix returns the classes of a service with cheap lookups, bookings and
+// expensive archive calls.
 func usualMix() []simClass {
 	return []simClass{
 		{Class{Name: "lookups", AnswerWithin: 50 * time.Millisecond}, 5 * time.Millisecond, 0.3, time.Second},
