--- a/internal/limit/overdue_test.go
+++ b/internal/limit/overdue_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Guards the overdue lane: an overdue call gets a slot once no on-time call waits, and is
-// refused at once while such spare slots are rare, or when its time to wait ends.
+// Guards the overdue lane: an overdue call gets a slot once no on-time call waits. It is
+// refused at once while such spare slots are rare, and later when its time to wait ends.
 func TestOverdueCallsTakeSpareSlots(t *testing.T) {
 	q := newTestQueue(Config{Slots: 1, Classes: []Class{{Name: "x", AnswerWithin: 500 * time.Millisecond}}})
 	for i := range 20 {
