--- a/internal/admin/admintest/handover.go
+++ b/internal/admin/admintest/handover.go
@@ -81,11 +81,11 @@
 func (f *Fake) quiet() query.HandoverInput {
 	now, s := f.now(), f.Snapshot()
 	v := s.Version()
-	records := make(map[string]*membership.Seen)
+	records := make(map[string]*membership.ObservedRecord)
 	for vm, dc := range map[string]string{"vm-1": "neg-shed", "vm-2": "gal-slip", "vm-3": "neg-shed"} {
-		r := membership.Record{VM: membership.VM{ID: vm, DataCentre: dc}, State: membership.VMAlive, Applied: v.Number}
+		r := membership.Record{VM: membership.VM{ID: vm, DataCentre: dc}, State: membership.VMAlive, AppliedVersion: v.Number}
 		copy(r.AppliedHash[:], v.Hash[:])
-		records[vm] = &membership.Seen{Record: r, Heard: now.Add(-4 * time.Second)}
+		records[vm] = &membership.ObservedRecord{Record: r, UpdatedAt: now.Add(-4 * time.Second)}
 	}
 	counts := query.ClassCounts{Calls: 700, Within: 700, Latency: query.Histogram{{AtMost: 90 * time.Millisecond, Calls: 700}}}
 	reports := query.NewReports()
@@ -107,8 +107,8 @@
 func (f *Fake) upset(in *query.HandoverInput) {
 	now := f.now()
 	behind := in.View.Records["vm-2"]
-	behind.Applied, behind.AppliedHash = in.Config.InForce.Number-1, [8]byte{}
-	behind.Refused, behind.RefusedReason = in.Config.InForce.Number, "unknown field"
+	behind.AppliedVersion, behind.AppliedHash = in.Config.InForce.Number-1, [8]byte{}
+	behind.RefusedVersion, behind.RefusedReason = in.Config.InForce.Number, "unknown field"
 	in.View.Records["vm-3"].Backends = []membership.Backend{
 		{Service: "berth", Instance: "a", State: membership.BackendDraining},
 	}
--- a/internal/announce/check.go
+++ b/internal/announce/check.go
@@ -9,10 +9,10 @@
 
 // Bounds of an announcement.
 const (
-	MaxNameLength = 63
-	MaxVersion    = 63
-	MaxSlots      = 10000
-	MaxLoad       = 1000000
+	MaxNameLength    = 63
+	MaxVersionLength = 63
+	MaxSlots         = 10000
+	MaxLoad          = 1000000
 )
 
 var name = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
@@ -51,14 +51,14 @@
 		return &FieldError{"service", "must be lower-case letters, digits and hyphens, at most 63"}
 	case a.Slots < 1 || a.Slots > MaxSlots:
 		return &FieldError{"slots", "must be between 1 and 10000"}
-	case len(a.Version) > MaxVersion:
+	case len(a.Version) > MaxVersionLength:
 		return &FieldError{"version", "must have at most 63 characters"}
 	case a.Load < 0 || a.Load > MaxLoad:
 		return &FieldError{"load", "must be between 0 and 1000000"}
 	case a.State < membership.BackendStarting || a.State > membership.BackendDraining:
 		return &FieldError{"state", "must be starting, ready or draining"}
 	}
-	if l.AnyAddress {
+	if l.AllowNonLoopback {
 		return checkPort(a.Address)
 	}
 	return checkAddress(a.Address)
--- a/internal/announce/gone_test.go
+++ b/internal/announce/gone_test.go
@@ -27,7 +27,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := NewRegistry(Limits{TTL: time.Minute, Max: 4, FreshNames: true})
+			r := NewRegistry(Limits{TTL: time.Minute, MaxBackends: 4, NoInstanceReuse: true})
 			before(r)
 			r.Withdraw(Withdrawal{Instance: "a"})
 			if _, err := r.Put(start, numbered(7, membership.BackendReady)); !errors.Is(err, ErrStale) {
@@ -47,7 +47,7 @@
 // its lease ends. Then a heartbeat arrives that was sent before the drain. It brought the
 // backend server back as ready, with an acknowledged drain behind it.
 func TestDrainOutlastsTheLease(t *testing.T) {
-	r := NewRegistry(Limits{TTL: time.Second, Max: 4, FreshNames: true})
+	r := NewRegistry(Limits{TTL: time.Second, MaxBackends: 4, NoInstanceReuse: true})
 	r.Expire(start)
 	put(t, r, start, numbered(7, membership.BackendDraining))
 	for now := start; now.Before(start.Add(2 * time.Second)); now = now.Add(100 * time.Millisecond) {
@@ -64,7 +64,7 @@
 // Where names are used again, a backend server that left and starts anew under its name
 // must come back into service at once.
 func TestNamesMayBeUsedAgain(t *testing.T) {
-	r := NewRegistry(Limits{TTL: time.Minute, Max: 4})
+	r := NewRegistry(Limits{TTL: time.Minute, MaxBackends: 4})
 	r.Withdraw(Withdrawal{Instance: "a"})
 	put(t, r, start, berth("a", "127.0.0.1:1"))
 	if l := r.Load(); len(l) != 1 {
--- a/internal/announce/incarnation_test.go
+++ b/internal/announce/incarnation_test.go
@@ -24,7 +24,7 @@
 func TestNewestIncarnationHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		said, newest := incarnations(t)
-		r := NewRegistry(Limits{TTL: time.Hour, Max: 4, AnyAddress: true})
+		r := NewRegistry(Limits{TTL: time.Hour, MaxBackends: 4, AllowNonLoopback: true})
 		now := start
 		hear := func(w word) {
 			now = now.Add(time.Millisecond)
--- a/internal/announce/property_test.go
+++ b/internal/announce/property_test.go
@@ -19,7 +19,7 @@
 func TestRegistryHoldsTogether(t *testing.T) {
 	const limit = 4
 	rapid.Check(t, func(t *rapid.T) {
-		r := NewRegistry(Limits{TTL: DefaultTTL, Max: limit})
+		r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: limit})
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1400).Draw(t, "ms")) * time.Millisecond)
--- a/internal/announce/registry.go
+++ b/internal/announce/registry.go
@@ -14,8 +14,8 @@
 
 // Defaults of Limits.
 const (
-	DefaultTTL = 3 * time.Second
-	DefaultMax = 64
+	DefaultTTL         = 3 * time.Second
+	DefaultMaxBackends = 64
 )
 
 // renewalsPerTTL is how often a backend server is asked to renew within one
@@ -24,15 +24,15 @@
 
 // Limits bound what a Registry takes in.
 type Limits struct {
-	TTL time.Duration // how long a silent backend server is kept
-	Max int           // backend servers at once
-	// AnyAddress lets backend servers be reached at other addresses than
+	TTL         time.Duration // how long a silent backend server is kept
+	MaxBackends int           // backend servers at once
+	// AllowNonLoopback lets backend servers be reached at other addresses than
 	// loopback, where the platform says which one is theirs.
-	AnyAddress bool
-	// FreshNames says that an instance which left or was replaced comes back only
+	AllowNonLoopback bool
+	// NoInstanceReuse says that an instance which left or was replaced comes back only
 	// with a later start, and else under a new name. Its word to leave then binds
 	// also where it is the first that was heard of it.
-	FreshNames bool
+	NoInstanceReuse bool
 }
 
 // RenewEvery returns how often a backend server should renew.
@@ -53,8 +53,8 @@
 	// Sequence grows with each announcement of an incarnation; zero where the
 	// announcements come in order anyway.
 	Sequence uint64
-	// ColdFor is how much longer the backend server is slow after its start.
-	ColdFor time.Duration
+	// WarmupRemaining is how much longer the backend server is slow after its start.
+	WarmupRemaining time.Duration
 }
 
 // Backend is one backend server under a lease.
@@ -104,18 +104,18 @@
 type Change struct {
 	Kind    ChangeKind
 	Backend Backend // as it is now, or as it last was when it is gone
-	// Was is the state before, of a backend server that was known.
-	Was membership.BackendState
+	// PreviousState is the state before, of a backend server that was known.
+	PreviousState membership.BackendState
 }
 
-// Visible reports whether the node's record in the mesh has to be raised.
-func (c Change) Visible() bool { return c.Kind != Renewed }
+// ChangesRecord reports whether the node's record in the mesh has to be raised.
+func (c Change) ChangesRecord() bool { return c.Kind != Renewed }
 
-// Visible returns those changes that the mesh has to hear of.
-func Visible(all []Change) []Change {
+// RecordChanges returns those changes that the mesh has to hear of.
+func RecordChanges(all []Change) []Change {
 	var out []Change
 	for _, c := range all {
-		if c.Visible() {
+		if c.ChangesRecord() {
 			out = append(out, c)
 		}
 	}
@@ -136,7 +136,7 @@
 
 // NewRegistry returns an empty registry.
 func NewRegistry(l Limits) *Registry {
-	r := &Registry{limits: l, gone: goneInstances{keepAll: l.FreshNames}}
+	r := &Registry{limits: l, gone: goneInstances{keepAll: l.NoInstanceReuse}}
 	r.list.Store(&[]Backend{})
 	return r
 }
@@ -170,7 +170,7 @@
 	b := Backend{Announcement: a, Addr: a.Address.String(), LoadAt: now, Expires: now.Add(r.limits.TTL)}
 	at, known := find(list, a.Instance)
 	if !known {
-		if len(list) >= r.limits.Max {
+		if len(list) >= r.limits.MaxBackends {
 			return nil, ErrTooMany
 		}
 		b.ReadySince = readySince(now, nil, a)
@@ -185,7 +185,7 @@
 	b.ReadySince = readySince(now, old, a)
 	list[at] = b
 	r.publish(list)
-	return append(changes, Change{Kind: kind, Backend: b, Was: was}), nil
+	return append(changes, Change{Kind: kind, Backend: b, PreviousState: was}), nil
 }
 
 // without returns a copy of the list less any other instance at the address.
@@ -200,7 +200,7 @@
 	for _, b := range r.Load() {
 		if b.Address == address && b.Instance != instance {
 			r.gone.add(b.Announcement)
-			gone = append(gone, Change{Kind: Replaced, Backend: b, Was: b.State})
+			gone = append(gone, Change{Kind: Replaced, Backend: b, PreviousState: b.State})
 			continue
 		}
 		list = append(list, b)
@@ -266,7 +266,7 @@
 	}
 	gone := list[at]
 	r.publish(slices.Delete(list, at, at+1))
-	return []Change{{Kind: Withdrawn, Backend: gone, Was: gone.State}}
+	return []Change{{Kind: Withdrawn, Backend: gone, PreviousState: gone.State}}
 }
 
 // Expire removes the backend servers whose lease has run out. Call it at least
@@ -291,7 +291,7 @@
 			kept = append(kept, b)
 		} else {
 			r.keepDrained(b)
-			gone = append(gone, Change{Kind: Expired, Backend: b, Was: b.State})
+			gone = append(gone, Change{Kind: Expired, Backend: b, PreviousState: b.State})
 		}
 	}
 	if paused || len(gone) > 0 {
@@ -343,8 +343,8 @@
 	})
 }
 
-// Members returns the backend servers as the node's record tells of them.
-func Members(list []Backend) []membership.Backend {
+// MembershipBackends returns the backend servers as the node's record tells of them.
+func MembershipBackends(list []Backend) []membership.Backend {
 	out := make([]membership.Backend, len(list))
 	for i, b := range list {
 		out[i] = membership.Backend{
--- a/internal/announce/registry_test.go
+++ b/internal/announce/registry_test.go
@@ -68,7 +68,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			r := NewRegistry(Limits{TTL: DefaultTTL, Max: DefaultMax})
+			r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
 			wantKinds(t, put(t, r, start, first), Added)
 			next := first
 			test.next(&next)
@@ -99,7 +99,7 @@
 		{"address", func(a *Announcement) { a.Address = netip.AddrPort{} }},
 	}
 	for _, test := range tests {
-		r := NewRegistry(Limits{TTL: DefaultTTL, Max: DefaultMax})
+		r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
 		a := berth("a", "127.0.0.1:1")
 		test.change(&a)
 		_, err := r.Put(start, a)
@@ -124,7 +124,7 @@
 }
 
 func TestPutBoundsTheNumber(t *testing.T) {
-	r := NewRegistry(Limits{TTL: DefaultTTL, Max: 1})
+	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: 1})
 	put(t, r, start, berth("a", "127.0.0.1:1"))
 	if _, err := r.Put(start, berth("b", "127.0.0.1:2")); !errors.Is(err, ErrTooMany) {
 		t.Errorf("got %v", err)
@@ -136,7 +136,7 @@
 // old port. Callers would see it get twice its calls until the old lease ends,
 // because both entries lead to the one process.
 func TestSameAddressTakesThePlace(t *testing.T) {
-	r := NewRegistry(Limits{TTL: DefaultTTL, Max: 1})
+	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: 1})
 	put(t, r, start, berth("old", "127.0.0.1:1"))
 	wantKinds(t, put(t, r, start, berth("new", "127.0.0.1:1")), Replaced, Added)
 	if list := r.Load(); len(list) != 1 || list[0].Instance != "new" {
@@ -148,7 +148,7 @@
 // the new one has announced itself, and takes the new one out of the mesh: its
 // callers are refused until the next renewal.
 func TestLateWithdrawalLeavesTheSuccessor(t *testing.T) {
-	r := NewRegistry(Limits{TTL: DefaultTTL, Max: DefaultMax})
+	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
 	old, successor := berth("a", "127.0.0.1:1"), berth("a", "127.0.0.1:2")
 	put(t, r, start, old)
 	put(t, r, start, successor)
@@ -162,7 +162,7 @@
 
 func TestSilentBackendExpires(t *testing.T) {
 	const step = DefaultTTL / sweepsPerTTL
-	r := NewRegistry(Limits{TTL: DefaultTTL, Max: DefaultMax})
+	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
 	put(t, r, start, berth("silent", "127.0.0.1:1"))
 	var gone []Change
 	for now := start; now.Before(start.Add(DefaultTTL + step)); now = now.Add(step) {
@@ -179,7 +179,7 @@
 // every lease has run out: the node takes all its backend servers out of the
 // mesh although all are well, and callers are refused.
 func TestPauseOfTheNodeExpiresNothing(t *testing.T) {
-	r := NewRegistry(Limits{TTL: DefaultTTL, Max: DefaultMax})
+	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
 	put(t, r, start, berth("a", "127.0.0.1:1"))
 	r.Expire(start)
 	back := start.Add(time.Minute)
@@ -192,7 +192,7 @@
 }
 
 func TestLoadedListNeverChanges(t *testing.T) {
-	r := NewRegistry(Limits{TTL: DefaultTTL, Max: DefaultMax})
+	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
 	put(t, r, start, berth("b", "127.0.0.1:1"))
 	before := r.Load()
 	put(t, r, start, berth("a", "127.0.0.1:2"))
@@ -206,12 +206,12 @@
 }
 
 func TestMembers(t *testing.T) {
-	r := NewRegistry(Limits{TTL: DefaultTTL, Max: DefaultMax})
+	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
 	put(t, r, start, berth("a", "127.0.0.1:1"))
 	cold := berth("b", "127.0.0.1:2")
 	cold.State = membership.BackendStarting
 	put(t, r, start, cold)
-	got := Members(r.Load())
+	got := MembershipBackends(r.Load())
 	want := []membership.Backend{
 		{Service: "berth", Instance: "a", Slots: 6, State: membership.BackendReady, ReadySince: start.UnixMilli()},
 		{Service: "berth", Instance: "b", Slots: 6, State: membership.BackendStarting},
@@ -225,7 +225,7 @@
 // cut heals, and the heartbeats of the first arrive: taken in, they would bring
 // back an instance that is gone, and calls meant for it would be refused.
 func TestLateAnnouncementsChangeNothing(t *testing.T) {
-	r := NewRegistry(Limits{TTL: time.Minute, Max: 4, AnyAddress: true})
+	r := NewRegistry(Limits{TTL: time.Minute, MaxBackends: 4, AllowNonLoopback: true})
 	now := time.Unix(1000, 0)
 	put := func(instance string, sequence uint64, s membership.BackendState) error {
 		_, err := r.Put(now, Announcement{
--- a/internal/announce/server.go
+++ b/internal/announce/server.go
@@ -13,8 +13,8 @@
 	"github.com/marlpass/marlpass/internal/problem"
 )
 
-// MaxBody is the size in bytes of the largest body that the API reads.
-const MaxBody = 4 << 10
+// MaxBodyBytes is the size in bytes of the largest body that the API reads.
+const MaxBodyBytes = 4 << 10
 
 // sweepsPerTTL is how often Run looks for leases that have run out within one
 // TTL.
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return http.MaxBytesHandler(h, MaxBody), nil
+	return http.MaxBytesHandler(h, MaxBodyBytes), nil
 }
 
 // Run expires silent backend servers until ctx is done.
@@ -61,7 +61,7 @@
 
 // tell passes on the changes that the mesh has to hear of.
 func (s *Server) tell(all []Change) {
-	if visible := Visible(all); len(visible) > 0 {
+	if visible := RecordChanges(all); len(visible) > 0 {
 		s.onChange(visible)
 	}
 }
--- a/internal/announce/server_test.go
+++ b/internal/announce/server_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestAnnounceOverSockets(t *testing.T) {
-	r := NewRegistry(Limits{TTL: DefaultTTL, Max: DefaultMax})
+	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
 	var told []ChangeKind
 	url := serve(t, NewServer(r, func() time.Time { return start }, func(c []Change) { told = append(told, kinds(c)...) }))
 	client, err := announceapi.NewClient(url)
@@ -82,10 +82,10 @@
 		{"bad state", "a", strings.Replace(good, "ready", "warm", 1), 422, `"field":"state"`},
 		{"not loopback", "a", strings.Replace(good, "127.0.0.1", "10.0.0.1", 1), 422, `"field":"address"`},
 		{"bad instance", "A!", good, 400, `"field":"instance"`},
-		{"too large", "a", strings.Repeat(" ", MaxBody+1) + good, 413, `"detail"`},
+		{"too large", "a", strings.Repeat(" ", MaxBodyBytes+1) + good, 413, `"detail"`},
 		{"one too many", "b", strings.Replace(good, ":1", ":2", 1), 429, `"detail"`},
 	}
-	r := NewRegistry(Limits{TTL: DefaultTTL, Max: 1})
+	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: 1})
 	put(t, r, start, berth("held", "127.0.0.1:9"))
 	url := serve(t, NewServer(r, time.Now, func([]Change) { t.Error("the mesh was told") }))
 	for _, test := range tests {
@@ -118,7 +118,7 @@
 
 func TestRunExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := NewRegistry(Limits{TTL: DefaultTTL, Max: DefaultMax})
+		r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
 		told := make(chan []Change, 1)
 		s := NewServer(r, time.Now, func(c []Change) { told <- c })
 		put(t, r, time.Now(), berth("a", "127.0.0.1:1"))
--- a/internal/distribute/failure_test.go
+++ b/internal/distribute/failure_test.go
@@ -23,9 +23,9 @@
 func newBench(t *testing.T, peers ...string) *bench {
 	now := time.Unix(1_700_000_000, 0)
 	b := &bench{t: t, now: now, rng: rand.New(rand.NewPCG(1, 1)),
-		view: &membership.View{Records: make(map[string]*membership.Seen)}}
+		view: &membership.View{Records: make(map[string]*membership.ObservedRecord)}}
 	for _, p := range append(peers, "self") {
-		b.view.Records[p] = &membership.Seen{Record: membership.Record{
+		b.view.Records[p] = &membership.ObservedRecord{Record: membership.Record{
 			VM: membership.VM{ID: p, DataCentre: "dc"}, State: membership.VMAlive,
 		}}
 	}
--- a/internal/distribute/feeder_test.go
+++ b/internal/distribute/feeder_test.go
@@ -12,7 +12,7 @@
 // suspectView is what a node sees that hears from alive alone of its data
 // centre's nodes.
 func (m *mesh) suspectView(n *node, alive ...string) *membership.View {
-	v := &membership.View{Self: n.id, Records: make(map[string]*membership.Seen)}
+	v := &membership.View{Self: n.id, Records: make(map[string]*membership.ObservedRecord)}
 	for _, p := range m.nodes {
 		if p.dc != n.dc {
 			continue
@@ -21,7 +21,7 @@
 		if p == n || slices.Contains(alive, p.id) {
 			state = membership.VMAlive
 		}
-		v.Records[p.id] = &membership.Seen{Record: membership.Record{
+		v.Records[p.id] = &membership.ObservedRecord{Record: membership.Record{
 			VM: membership.VM{ID: p.id, DataCentre: p.dc}, State: state,
 		}}
 	}
--- a/internal/distribute/harness_test.go
+++ b/internal/distribute/harness_test.go
@@ -103,10 +103,10 @@
 
 // refreshView makes a new view of the live nodes, the same for all.
 func (m *mesh) refreshView() {
-	v := &membership.View{Records: make(map[string]*membership.Seen)}
+	v := &membership.View{Records: make(map[string]*membership.ObservedRecord)}
 	for _, n := range m.nodes {
 		if n.up {
-			v.Records[n.id] = &membership.Seen{Record: membership.Record{
+			v.Records[n.id] = &membership.ObservedRecord{Record: membership.Record{
 				VM: membership.VM{ID: n.id, DataCentre: n.dc}, State: membership.VMAlive,
 			}}
 		}
--- a/internal/distribute/restart_test.go
+++ b/internal/distribute/restart_test.go
@@ -284,7 +284,7 @@
 	b.do(heardTell("p", ours))
 	b.do(Heard{Peer: "vm", Version: theirs[3].To, InForce: 4, Tell: true})
 	b.do(Pulled{Peer: "vm", Answer: Answer{Version: theirs[3].To, OtherHistory: true}})
-	b.view.Records["vm"].Applied = 4 // its record of before the restart
+	b.view.Records["vm"].AppliedVersion = 4 // its record of before the restart
 	empty := config.Empty().Version()
 	if a := b.s.Serve(b.view, "vm", empty, true); a.YouHeld != 2 {
 		t.Fatalf("tells the VM that it held %d", a.YouHeld)
--- a/internal/distribute/roles_test.go
+++ b/internal/distribute/roles_test.go
@@ -11,10 +11,10 @@
 // data centre told them of a version, so its nodes ran by the one before for over two seconds.
 // One feeder of each data centre has to mention a version to one of each other.
 func TestFeedersMentionAVersionElsewhere(t *testing.T) {
-	v := &membership.View{Records: map[string]*membership.Seen{}}
+	v := &membership.View{Records: map[string]*membership.ObservedRecord{}}
 	for i := range 24 {
 		id := fmt.Sprint("vm", i)
-		v.Records[id] = &membership.Seen{Record: membership.Record{
+		v.Records[id] = &membership.ObservedRecord{Record: membership.Record{
 			VM: membership.VM{ID: id, DataCentre: fmt.Sprint("dc", i%4)}, State: membership.VMAlive,
 		}}
 	}
--- a/internal/distribute/runner.go
+++ b/internal/distribute/runner.go
@@ -73,7 +73,7 @@
 
 // Deps are what a Runner works with.
 type Deps struct {
-	Views    *membership.Views
+	Views    *membership.CurrentView
 	Platform Platform
 	Client   Client
 	Store    Store
--- a/internal/distribute/runner_test.go
+++ b/internal/distribute/runner_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	r := NewRunner(Defaults("self", "dc", Time()), Deps{
-		Views: new(membership.Views), Platform: downPlatform{}, Store: store, Log: zerolog.Nop(),
+		Views: new(membership.CurrentView), Platform: downPlatform{}, Store: store, Log: zerolog.Nop(),
 	})
 	t.Cleanup(r.stop)
 	return r, store
--- a/internal/distribute/state.go
+++ b/internal/distribute/state.go
@@ -129,7 +129,7 @@
 	n := s.held[peer]
 	if view != nil {
 		if r := view.Records[peer]; r != nil {
-			n = max(n, r.Applied)
+			n = max(n, r.AppliedVersion)
 		}
 	}
 	if n <= s.foreign[peer] {
--- a/internal/distribute/tellers_test.go
+++ b/internal/distribute/tellers_test.go
@@ -13,10 +13,10 @@
 // brings, in a data centre in which everybody answers.
 func TestTellersAreThoseThatTell(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 12, 34, 35, 66, 67, 240} {
-		v := &membership.View{Records: make(map[string]*membership.Seen)}
+		v := &membership.View{Records: make(map[string]*membership.ObservedRecord)}
 		for i := range n {
 			vm := membership.VM{ID: fmt.Sprint("n", i), DataCentre: "dc", LinkMbps: uint32(10 + i%3)}
-			v.Records[vm.ID] = &membership.Seen{Record: membership.Record{VM: vm, State: membership.VMAlive}}
+			v.Records[vm.ID] = &membership.ObservedRecord{Record: membership.Record{VM: vm, State: membership.VMAlive}}
 		}
 		asked, most := make(map[string]int), make(map[string]int)
 		for id := range v.Records {
--- a/internal/distribute/unconfirming_test.go
+++ b/internal/distribute/unconfirming_test.go
@@ -80,9 +80,9 @@
 		ids = append(ids, fmt.Sprint("vm", i))
 	}
 	self := ranked("feeder/dc/", ids)[feedersPerDC]
-	view := &membership.View{Self: self, Records: make(map[string]*membership.Seen)}
+	view := &membership.View{Self: self, Records: make(map[string]*membership.ObservedRecord)}
 	for _, id := range ids {
-		view.Records[id] = &membership.Seen{Record: membership.Record{
+		view.Records[id] = &membership.ObservedRecord{Record: membership.Record{
 			VM: membership.VM{ID: id, DataCentre: "dc"}, State: membership.VMAlive,
 		}}
 	}
--- a/internal/follow/contact_test.go
+++ b/internal/follow/contact_test.go
@@ -54,7 +54,7 @@
 // newFeederless starts the node, and returns once it holds the first version.
 func newFeederless(t *testing.T, ctx context.Context) *feederless {
 	f := &feederless{t: t, view: crowd(t), newest: config.Empty(), changed: make(chan struct{}), peers: make(map[string]reach)}
-	var views membership.Views
+	var views membership.CurrentView
 	views.Store(f.view)
 	store, err := config.NewStore(func(*config.Snapshot) (int, error) { return 0, nil })
 	if err != nil {
--- a/internal/follow/herd_test.go
+++ b/internal/follow/herd_test.go
@@ -52,7 +52,7 @@
 }
 
 func newHerd(n int) *herd {
-	h := &herd{rng: rand.New(rand.NewPCG(1, uint64(n))), now: start, view: &membership.View{Records: map[string]*membership.Seen{}}}
+	h := &herd{rng: rand.New(rand.NewPCG(1, uint64(n))), now: start, view: &membership.View{Records: map[string]*membership.ObservedRecord{}}}
 	for i := range n {
 		v := &herdNode{id: fmt.Sprintf("n%03d", i), link: slowLink, core: 0.16}
 		if i%10 == 0 {
@@ -62,7 +62,7 @@
 		v.state = NewState(Defaults(v.id, dc, v.link), start)
 		v.joined = start.Add(herdJoin + time.Duration(h.rng.Int64N(int64(herdJoin))))
 		h.nodes = append(h.nodes, v)
-		h.view.Records[v.id] = &membership.Seen{Record: membership.Record{
+		h.view.Records[v.id] = &membership.ObservedRecord{Record: membership.Record{
 			VM: membership.VM{ID: v.id, DataCentre: dc, LinkMbps: v.link}, State: membership.VMAlive,
 		}}
 	}
@@ -78,7 +78,7 @@
 func (h *herd) step(v *herdNode, everyReads bool) {
 	view := h.view
 	if h.now.Before(v.joined) {
-		view = &membership.View{Records: map[string]*membership.Seen{v.id: h.view.Records[v.id]}}
+		view = &membership.View{Records: map[string]*membership.ObservedRecord{v.id: h.view.Records[v.id]}}
 	}
 	switch {
 	case h.now.Before(v.busy):
--- a/internal/follow/mesh_test.go
+++ b/internal/follow/mesh_test.go
@@ -60,7 +60,7 @@
 	m      *meshOfNodes
 	id     string
 	runner *Runner
-	views  membership.Views
+	views  membership.CurrentView
 
 	// Guarded by the mesh.
 	silent  bool      // the source leaves it without an answer
@@ -106,12 +106,12 @@
 	m := &meshOfNodes{
 		t: t, nodes: make(map[string]*meshNode), newest: config.Empty(), changed: make(chan struct{}), delay: sourceAnswer, within: b.inForce,
 	}
-	records := make(map[string]*membership.Seen)
+	records := make(map[string]*membership.ObservedRecord)
 	for dc, size := range sizes {
 		for i := range size {
 			id := fmt.Sprintf("dc%d-%03d", dc, i)
 			m.ids = append(m.ids, id)
-			records[id] = &membership.Seen{Record: membership.Record{
+			records[id] = &membership.ObservedRecord{Record: membership.Record{
 				VM: membership.VM{ID: id, DataCentre: fmt.Sprint("dc", dc), ControlAddr: id, LinkMbps: 100}, State: membership.VMAlive,
 			}}
 		}
--- a/internal/follow/runner.go
+++ b/internal/follow/runner.go
@@ -28,7 +28,7 @@
 // Deps are what a Runner works with.
 type Deps struct {
 	Source Source
-	Views  *membership.Views
+	Views  *membership.CurrentView
 	Client distribute.Client
 	Store  distribute.Store
 	Log    zerolog.Logger
--- a/internal/follow/state_test.go
+++ b/internal/follow/state_test.go
@@ -17,9 +17,9 @@
 func version(n uint64) config.Version { return config.Version{Number: n, Hash: config.Hash{byte(n)}} }
 
 func view(ids ...string) *membership.View {
-	v := &membership.View{Self: "me", Records: make(map[string]*membership.Seen)}
+	v := &membership.View{Self: "me", Records: make(map[string]*membership.ObservedRecord)}
 	for _, id := range append(ids, "me") {
-		v.Records[id] = &membership.Seen{Record: membership.Record{VM: membership.VM{ID: id, DataCentre: "dc"}, State: membership.VMAlive}}
+		v.Records[id] = &membership.ObservedRecord{Record: membership.Record{VM: membership.VM{ID: id, DataCentre: "dc"}, State: membership.VMAlive}}
 	}
 	return v
 }
--- a/internal/localmesh/failure_test.go
+++ b/internal/localmesh/failure_test.go
@@ -41,7 +41,7 @@
 		Name: "test", Profile: settings.ProfileTime, Log: zerolog.Nop(), DataCentres: dcs, Store: fake.New(),
 		Membership: func(c *membership.Config) {
 			c.AloneAfter = aloneAfter
-			c.BridgeEvery, c.FarBridgeEvery = bridgeEvery, bridgeEvery
+			c.BridgeEvery, c.CrossRegionBridgeEvery = bridgeEvery, bridgeEvery
 		},
 	}
 }
--- a/internal/membership/bounds_test.go
+++ b/internal/membership/bounds_test.go
@@ -74,7 +74,7 @@
 // A peer sends a full state of a few bytes that unpacks to gigabytes. Taken
 // without a bound it would kill the joining node, and again at each restart.
 func TestFullStateIsBounded(t *testing.T) {
-	s := alone(func(c *Config) { c.Limits.Full = 1 << 20 })
+	s := alone(func(c *Config) { c.Limits.FullStateBytes = 1 << 20 })
 	bomb, err := compress(make([]byte, 8<<20))
 	if err != nil {
 		t.Fatal(err)
@@ -86,10 +86,10 @@
 
 func TestOwnRecordIsBounded(t *testing.T) {
 	s := alone(nil)
-	if err := s.SetBackends(epoch, make([]Backend, 65)); !errors.Is(err, ErrTooMuch) {
+	if err := s.SetBackends(epoch, make([]Backend, 65)); !errors.Is(err, ErrRecordTooLarge) {
 		t.Errorf("backends: %v", err)
 	}
-	if err := s.SetNotices(epoch, make([]Notice, 33)); !errors.Is(err, ErrTooMuch) {
+	if err := s.SetNotices(epoch, make([]Notice, 33)); !errors.Is(err, ErrRecordTooLarge) {
 		t.Errorf("notices: %v", err)
 	}
 }
@@ -256,7 +256,7 @@
 
 func BenchmarkAnswerProbe(b *testing.B) {
 	s := full(1200)
-	s.SetApplied(epoch, Applied{Version: 5})
+	s.SetConfigStatus(epoch, ConfigStatus{Version: 5})
 	m := &peerpb.Membership{Kind: peerpb.Kind_KIND_PROBE, From: "vm-5", Incarnation: 1, Sequence: 1, Digest: s.digest()}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -33,7 +33,7 @@
 	held  uint64 // highest version that this incarnation was seen to hold
 	prior uint64 // highest version that any earlier one was seen to hold
 
-	published *Seen // nil when the view has to be told anew
+	published *ObservedRecord // nil when the view has to be told anew
 }
 
 // centre is all that this node keeps of a data centre.
@@ -155,7 +155,7 @@
 		e.leavingAt = s.now
 		s.clearSuspicion(e, false)
 	}
-	e.held = max(e.held, r.Applied)
+	e.held = max(e.held, r.AppliedVersion)
 	started := r.VM.Incarnation != e.rec.VM.Incarnation
 	e.rec = r
 	e.heard = s.now
@@ -207,12 +207,12 @@
 func (s *State) expire() {
 	for id, e := range s.entries {
 		switch {
-		case e.dead && s.now.Sub(e.deadAt) > s.cfg.TombstoneFor:
+		case e.dead && s.now.Sub(e.deadAt) > s.cfg.TombstoneRetention:
 			delete(s.entries, id)
 			delete(s.byKey, e.key)
 			delete(s.hot, e)
 		case e.dead:
-		case e.rec.State == VMLeaving && s.now.Sub(e.leavingAt) > s.cfg.LeavingFor:
+		case e.rec.State == VMLeaving && s.now.Sub(e.leavingAt) > s.cfg.LeavingRetention:
 			s.declareDead(e, e.rec.stamp())
 			e.claimHot = 0
 		case e.centre != s.home && s.now.Sub(e.centre.heard) > s.cfg.ForgetAfter:
@@ -221,7 +221,7 @@
 		}
 	}
 	for name, c := range s.centres {
-		if c.live == 0 && c != s.home && s.now.Sub(c.heard) > s.cfg.TombstoneFor {
+		if c.live == 0 && c != s.home && s.now.Sub(c.heard) > s.cfg.TombstoneRetention {
 			delete(s.centres, name)
 			delete(s.byCentre, c.key)
 		}
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -190,7 +190,7 @@
 	old := w.nodes[4]
 	fresh := w.add(old.info.ID, old.info.DataCentre, old.info.Region)
 	w.run(2 * time.Minute)
-	if _, yes := old.Superseded(); !yes || old.Stats().Duplicates == 0 {
+	if _, yes := old.Superseded(); !yes || old.Stats().DuplicateIDs == 0 {
 		t.Error("the former process does not know")
 	}
 	if _, yes := fresh.Superseded(); yes {
@@ -279,7 +279,7 @@
 // the old record. The record must not bring the node back, and while it drains
 // nobody may suspect it.
 func TestLeftNodeStaysGone(t *testing.T) {
-	w := warm(20, func(c *Config) { c.TombstoneFor = 5 * time.Minute })
+	w := warm(20, func(c *Config) { c.TombstoneRetention = 5 * time.Minute })
 	v := w.nodes[3]
 	cut := w.nodes[0].info.DataCentre
 	w.parted = func(a, b *vm) bool { return (a.info.DataCentre == cut) != (b.info.DataCentre == cut) }
@@ -302,7 +302,7 @@
 	w.run(3 * time.Minute)
 	w.parted = nil
 	w.mustSettle(t, 3*time.Minute)
-	w.run(v.cfg.TombstoneFor + time.Minute)
+	w.run(v.cfg.TombstoneRetention + time.Minute)
 	if s := w.unsettled(); s != "" {
 		t.Error(s)
 	}
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -14,7 +14,7 @@
 // spread is the number of messages that a change rides on.
 func (s *State) spread() int {
 	n := max(s.home.live+1, len(s.centres)*s.cfg.Bridges)
-	return s.cfg.SpreadFactor * bits.Len(uint(n))
+	return s.cfg.RetransmitFactor * bits.Len(uint(n))
 }
 
 // knownTo takes the digest of a request: what is hot in a data centre of which
@@ -279,7 +279,7 @@
 		}
 		every := s.cfg.BridgeEvery
 		if c.region != s.home.region {
-			every = s.cfg.FarBridgeEvery
+			every = s.cfg.CrossRegionBridgeEvery
 		}
 		// Between half and one and a half periods: bridges do not fall in step.
 		wait := every/2 + time.Duration(s.rnd.Int64N(int64(every)))
--- a/internal/membership/held.go
+++ b/internal/membership/held.go
@@ -41,11 +41,11 @@
 	if e == nil {
 		return 0
 	}
-	return max(e.held, e.prior, e.rec.Applied)
+	return max(e.held, e.prior, e.rec.AppliedVersion)
 }
 
 func (s *State) fillHeld(m *peerpb.Membership) {
-	if s.self.Applied == 0 {
+	if s.self.AppliedVersion == 0 {
 		return
 	}
 	s.exchanges++
@@ -87,7 +87,7 @@
 }
 
 func (s *State) encodeHeld(c *centre) *peerpb.Held {
-	h := &peerpb.Held{DataCentre: c.key, Version: s.self.Applied, Idset: c.idset}
+	h := &peerpb.Held{DataCentre: c.key, Version: s.self.AppliedVersion, Idset: c.idset}
 	bits := make([]byte, (c.live+8)/8)
 	set := 0
 	n := s.ordered(c, func(i int, e *entry) {
--- a/internal/membership/herd_test.go
+++ b/internal/membership/herd_test.go
@@ -46,10 +46,10 @@
 		table := &slowTable{memory: &memory{peers: map[string]*Runner{}, rows: map[string]ContactRow{}}}
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		var views [n]Views
+		var views [n]CurrentView
 		for i := range n {
 			vm := VM{ID: fmt.Sprintf("vm-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%2), ControlAddr: fmt.Sprintf("host-%d:7000", i)}
-			r := NewRunner(Swift(DefaultConfig(vm)), table, table, &views[i], zerolog.Nop())
+			r := NewRunner(FastConvergence(DefaultConfig(vm)), table, table, &views[i], zerolog.Nop())
 			table.peers[vm.ControlAddr] = r
 		}
 		for _, r := range table.peers {
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -115,10 +115,10 @@
 // Joined tells whether this node has a full state, or found nobody to ask.
 func (s *State) Joined() bool { return s.joined }
 
-// WantContacts tells whether reading the platform's contacts could help. When
+// ShouldReadContacts tells whether reading the platform's contacts could help. When
 // another data centre is cut off, only the bridges read: else every node of a
 // parted region would.
-func (s *State) WantContacts() bool {
+func (s *State) ShouldReadContacts() bool {
 	_, home := s.cutOff[s.home.name]
 	return !s.joined || s.live == 0 || home || (len(s.cutOff) > 0 && s.amBridge())
 }
@@ -244,7 +244,7 @@
 	s.tokens--
 	s.stats.JoinsServed++
 	ans.Full = s.fullState()
-	if s.self.Applied > 0 {
+	if s.self.AppliedVersion > 0 {
 		for _, c := range s.sortedCentres() {
 			ans.Held = append(ans.Held, s.encodeHeld(c))
 		}
@@ -302,7 +302,7 @@
 // everybody else and do not ride on its messages. To one that has joined
 // before, they come from a mesh that was apart.
 func (s *State) takeFull(full []byte, source uint64) bool {
-	raw, err := decompress(full, s.cfg.Limits.Full)
+	raw, err := decompress(full, s.cfg.Limits.FullStateBytes)
 	if err != nil {
 		return false
 	}
@@ -325,6 +325,6 @@
 	s.own.joinedAt = s.now
 	s.attempts = 0
 	s.heatOwn(true)
-	s.settled = s.now.Add(s.cfg.Settle)
+	s.settled = s.now.Add(s.cfg.SuspicionGrace)
 	s.startRecall()
 }
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -42,7 +42,7 @@
 	for _, how := range []string{"leaves", "crashes"} {
 		alone := false
 		w := newMesh(8, 2, func(c *Config) {
-			*c = Swift(*c)
+			*c = FastConvergence(*c)
 			if alone {
 				c.Seeds = nil
 			}
@@ -71,7 +71,7 @@
 	var sum time.Duration
 	const herds = 10
 	for n := range herds {
-		w := newMesh(10+n, 3, func(c *Config) { *c = Swift(*c) })
+		w := newMesh(10+n, 3, func(c *Config) { *c = FastConvergence(*c) })
 		w.run(20 * time.Second)
 		for _, v := range w.nodes {
 			w.stop(v)
--- a/internal/membership/measure_faults_test.go
+++ b/internal/membership/measure_faults_test.go
@@ -108,7 +108,7 @@
 // for the next messages and when it is pushed.
 func measurePush(n int) {
 	for _, push := range []bool{false, true} {
-		w := warm(n, func(c *Config) { c.PushChanges = push })
+		w := warm(n, func(c *Config) { c.PushAllChanges = push })
 		idle, _, _ := cost(w, 2*time.Minute)
 		v := w.nodes[n/2]
 		backend := v.self.Backends[0]
--- a/internal/membership/measure_test.go
+++ b/internal/membership/measure_test.go
@@ -31,7 +31,7 @@
 	w := newMesh(n, 5, configure)
 	for _, v := range w.nodes {
 		_ = v.SetBackends(w.now, []Backend{{Service: fmt.Sprintf("service-%d", v.index%61), Instance: "i-1", Slots: 8, State: BackendReady, ReadySince: epoch.UnixMilli() + int64(v.index*7919)}})
-		v.SetApplied(w.now, Applied{Version: 1000})
+		v.SetConfigStatus(w.now, ConfigStatus{Version: 1000})
 	}
 	for _, v := range w.nodes {
 		for _, o := range w.nodes {
@@ -128,7 +128,7 @@
 
 	idle, _, _ := cost(w, time.Minute)
 	for _, v := range w.nodes {
-		v.SetApplied(w.now, Applied{Version: 1001})
+		v.SetConfigStatus(w.now, ConfigStatus{Version: 1001})
 	}
 	begin := w.now
 	before := sumBytes(w)
--- a/internal/membership/mesh_test.go
+++ b/internal/membership/mesh_test.go
@@ -159,7 +159,7 @@
 }
 
 // deliver carries a request, perhaps twice, and its answer back.
-func (w *mesh) deliver(from *vm, s Send) {
+func (w *mesh) deliver(from *vm, s OutgoingRequest) {
 	life := from.life
 	w.count(s.Msg)
 	w.after(s.Timeout, func() { // a second report of the outcome is ignored
@@ -174,7 +174,7 @@
 	}
 }
 
-func (w *mesh) arrive(from *vm, life int, s Send) {
+func (w *mesh) arrive(from *vm, life int, s OutgoingRequest) {
 	to := w.byAddr[s.Addr]
 	if w.lost(from, to) {
 		return
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -47,8 +47,8 @@
 		Incarnation:   r.VM.Incarnation,
 		Sequence:      r.Sequence,
 		State:         uint32(r.State),
-		Applied:       r.Applied,
-		Refused:       r.Refused,
+		Applied:       r.AppliedVersion,
+		Refused:       r.RefusedVersion,
 		RefusedReason: r.RefusedReason,
 	}
 	if r.AppliedHash != [8]byte{} {
@@ -88,11 +88,11 @@
 			AdminAddr:   p.GetAdminAddr(),
 			Incarnation: p.GetIncarnation(),
 		},
-		Sequence:      p.GetSequence(),
-		State:         VMState(p.GetState()),
-		Applied:       p.GetApplied(),
-		Refused:       p.GetRefused(),
-		RefusedReason: p.GetRefusedReason(),
+		Sequence:       p.GetSequence(),
+		State:          VMState(p.GetState()),
+		AppliedVersion: p.GetApplied(),
+		RefusedVersion: p.GetRefused(),
+		RefusedReason:  p.GetRefusedReason(),
 	}
 	copy(r.AppliedHash[:], p.GetAppliedHash())
 	for _, b := range p.GetBackends() {
@@ -145,7 +145,7 @@
 
 func (l *Limits) short(ss ...string) bool {
 	for _, s := range ss {
-		if len(s) > l.String {
+		if len(s) > l.StringBytes {
 			return false
 		}
 	}
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -75,7 +75,7 @@
 		}
 	case "apply":
 		if v.up && !v.paused {
-			v.SetApplied(w.now, Applied{Version: v.self.Applied + 1})
+			v.SetConfigStatus(w.now, ConfigStatus{Version: v.self.AppliedVersion + 1})
 		}
 	case "stop":
 		w.stop(v)
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -16,10 +16,10 @@
 	s.stats.Views++
 	v := &View{
 		Self:    s.self.VM.ID,
-		Records: make(map[string]*Seen, s.live+1),
+		Records: make(map[string]*ObservedRecord, s.live+1),
 		CutOff:  maps.Clone(s.cutOff),
 	}
-	v.Records[v.Self] = &Seen{Record: s.self, Heard: s.now}
+	v.Records[v.Self] = &ObservedRecord{Record: s.self, UpdatedAt: s.now}
 	for id, e := range s.entries {
 		if !e.dead {
 			v.Records[id] = s.seen(e)
@@ -35,7 +35,7 @@
 	return s.viewDirty || s.heldDirty || s.view == nil, s.viewDirty || s.view == nil
 }
 
-func (s *State) seen(e *entry) *Seen {
+func (s *State) seen(e *entry) *ObservedRecord {
 	state := e.rec.State
 	if state == VMAlive && (e.suspicion != nil || s.unheard(e)) {
 		state = VMSuspect
@@ -43,11 +43,11 @@
 	if e.published != nil && e.published.State == state {
 		return e.published
 	}
-	e.published = &Seen{Record: e.rec, Heard: e.heard}
+	e.published = &ObservedRecord{Record: e.rec, UpdatedAt: e.heard}
 	e.published.State = state
-	if e.held > e.rec.Applied {
+	if e.held > e.rec.AppliedVersion {
 		// Only the number of the newer version is known.
-		e.published.Applied, e.published.AppliedHash = e.held, [8]byte{}
+		e.published.AppliedVersion, e.published.AppliedHash = e.held, [8]byte{}
 	}
 	return e.published
 }
--- a/internal/membership/push_test.go
+++ b/internal/membership/push_test.go
@@ -24,7 +24,7 @@
 func TestBridgesAreToldByAFew(t *testing.T) {
 	const changes = 12
 	busiest := func(n int) (most int) {
-		w := newMesh(n, 2, func(c *Config) { *c = Swift(*c); c.PushChanges = true })
+		w := newMesh(n, 2, func(c *Config) { *c = FastConvergence(*c); c.PushAllChanges = true })
 		if _, ok := w.runUntil(3*time.Minute, w.settled); !ok {
 			t.Fatalf("%d nodes: %s", n, w.unsettled())
 		}
--- a/internal/membership/ring.go
+++ b/internal/membership/ring.go
@@ -122,9 +122,9 @@
 
 func (s *State) amBridge() bool { return slices.Contains(s.bridgesOf(s.home), nil) }
 
-// ContactDuty tells whether this node should write its row of contacts: only a
+// ShouldWriteContact tells whether this node should write its row of contacts: only a
 // few nodes of each data centre, its bridges, do.
-func (s *State) ContactDuty() bool { return s.joined && s.amBridge() }
+func (s *State) ShouldWriteContact() bool { return s.joined && s.amBridge() }
 
 // shuffled returns up to n of list in random order.
 func shuffled[T any](s *State, list []T, n int) []T {
--- a/internal/membership/roll.go
+++ b/internal/membership/roll.go
@@ -32,7 +32,7 @@
 	}
 	r := &s.roll
 	age := s.now.Sub(r.begun)
-	if r.begun.IsZero() || age > s.cfg.RollEvery || (age > rollFresh && s.mostWell()) {
+	if r.begun.IsZero() || age > s.cfg.DeathSampleEvery || (age > rollFresh && s.mostWell()) {
 		s.startRollCall()
 		return false
 	}
@@ -60,7 +60,7 @@
 		}
 	}
 	s.roll = rollCall{waiting: map[uint64]struct{}{}, begun: s.now}
-	for _, e := range shuffled(s, list, s.cfg.RollCall) {
+	for _, e := range shuffled(s, list, s.cfg.DeathSampleSize) {
 		m := &peerpb.Membership{Kind: peerpb.Kind_KIND_PROBE}
 		id := s.send(e, m, s.cfg.ProbeTimeout)
 		s.roll.waiting[id] = struct{}{}
--- a/internal/membership/runner.go
+++ b/internal/membership/runner.go
@@ -50,7 +50,7 @@
 	state     *State
 	published time.Time
 
-	views     *Views
+	views     *CurrentView
 	transport Transport
 	contacts  Contacts // may be nil
 	log       zerolog.Logger
@@ -59,7 +59,7 @@
 
 // NewRunner returns a Runner for a node that starts now. A nil contacts leaves
 // first contact to the seeds.
-func NewRunner(cfg Config, t Transport, contacts Contacts, views *Views, log zerolog.Logger) *Runner {
+func NewRunner(cfg Config, t Transport, contacts Contacts, views *CurrentView, log zerolog.Logger) *Runner {
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	r := &Runner{
 		state:     New(cfg, time.Now(), rnd),
@@ -121,7 +121,7 @@
 	r.views.Store(r.state.View(now))
 }
 
-func (r *Runner) exchange(ctx context.Context, s Send) {
+func (r *Runner) exchange(ctx context.Context, s OutgoingRequest) {
 	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
 	ans, err := r.transport.Exchange(ctx, s.Addr, s.Msg)
@@ -166,9 +166,9 @@
 	return err
 }
 
-// SetApplied tells which version is in force here.
-func (r *Runner) SetApplied(a Applied) {
-	r.do(func(s *State, now time.Time) { s.SetApplied(now, a) })
+// SetConfigStatus tells which version is in force here.
+func (r *Runner) SetConfigStatus(a ConfigStatus) {
+	r.do(func(s *State, now time.Time) { s.SetConfigStatus(now, a) })
 }
 
 // Leave tells the mesh that this node leaves. Run has to go on for about two
@@ -216,7 +216,7 @@
 	for ctx.Err() == nil {
 		var want, duty, early bool
 		r.peek(func(s *State) {
-			want, duty = s.WantContacts(), s.ContactDuty()
+			want, duty = s.ShouldReadContacts(), s.ShouldWriteContact()
 			// One that took itself to be the first, since the platform was down as
 			// well, goes on looking: it serves nobody until it finds the others.
 			early = s.cfg.WriteContactEarly && s.live == 0
@@ -273,7 +273,7 @@
 }
 
 // refreshes tells whether the node is one of the own data centre that write
-// their rows of contacts; see ContactDuty.
+// their rows of contacts; see ShouldWriteContact.
 func (r *Runner) refreshes(id string) (yes bool) {
 	r.peek(func(s *State) {
 		e := s.entries[id] // nil stands for this node among the bridges
--- a/internal/membership/runner_test.go
+++ b/internal/membership/runner_test.go
@@ -65,7 +65,7 @@
 func TestContactsSurviveWrongClocks(t *testing.T) {
 	net := &memory{peers: map[string]*Runner{}, rows: map[string]ContactRow{}}
 	self := VM{ID: "vm-0", DataCentre: "dc-0", ControlAddr: "10.0.0.1:7000"}
-	r := NewRunner(DefaultConfig(self), net, net, new(Views), zerolog.Nop())
+	r := NewRunner(DefaultConfig(self), net, net, new(CurrentView), zerolog.Nop())
 	r.do(func(s *State, _ time.Time) { s.accept(goodRecord(), 0) })
 	put := func(id string, at time.Time) {
 		net.rows[id] = ContactRow{Contact: Contact{ID: id, DataCentre: "dc-0", ControlAddr: id + ":7000"}, At: at}
@@ -94,7 +94,7 @@
 		net.rows["vm-old"] = ContactRow{Contact: Contact{ID: "vm-old", DataCentre: "dc-0", ControlAddr: "gone:1"}, At: time.Now().Add(-time.Hour)}
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		var views [n]Views
+		var views [n]CurrentView
 		var stops [n]context.CancelFunc
 		for i := range n {
 			vm := VM{ID: fmt.Sprintf("vm-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%2), ControlAddr: fmt.Sprintf("host-%d:7000", i)}
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -8,8 +8,8 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// ErrTooMuch is given for a change to the own record that is over a limit.
-var ErrTooMuch = errors.New("membership: the record would be over a limit")
+// ErrRecordTooLarge is given for a change to the own record that is over a limit.
+var ErrRecordTooLarge = errors.New("membership: the record would be over a limit")
 
 // own is what this node keeps of its own record.
 type own struct {
@@ -23,12 +23,12 @@
 	metAt      time.Time           // when the last of them became known
 }
 
-// Applied is what SetApplied tells of the configuration in force.
-type Applied struct {
-	Version       uint64
-	Hash          [8]byte
-	Refused       uint64
-	RefusedReason string
+// ConfigStatus is what SetConfigStatus tells of the configuration in force.
+type ConfigStatus struct {
+	Version        uint64
+	Hash           [8]byte
+	RefusedVersion uint64
+	RefusedReason  string
 }
 
 func (s *State) linkOwn() {
@@ -46,7 +46,7 @@
 	s.linkOwn()
 	urgent = urgent || s.own.push
 	s.own.dirty, s.own.push = false, false
-	s.own.nextRaise = s.now.Add(s.cfg.RaiseEvery)
+	s.own.nextRaise = s.now.Add(s.cfg.RecordUpdateEvery)
 	s.viewDirty = true
 	s.heatOwn(urgent)
 }
@@ -68,7 +68,7 @@
 	}
 	urgent := lessServed(s.self.Backends, list)
 	s.self.Backends = slices.Clone(list)
-	s.own.push = s.own.push || s.cfg.PushChanges
+	s.own.push = s.own.push || s.cfg.PushAllChanges
 	s.changed(urgent)
 	return nil
 }
@@ -99,18 +99,18 @@
 	return nil
 }
 
-// SetApplied tells which version is in force here. The version alone raises no
+// SetConfigStatus tells which version is in force here. The version alone raises no
 // sequence: it rides on messages as one bit a node (see Held). A refusal is
 // rare and goes into the record.
-func (s *State) SetApplied(now time.Time, a Applied) {
+func (s *State) SetConfigStatus(now time.Time, a ConfigStatus) {
 	s.advance(now)
-	refused := a.Refused != s.self.Refused || a.RefusedReason != s.self.RefusedReason
-	if a.Version != s.self.Applied {
+	refused := a.RefusedVersion != s.self.RefusedVersion || a.RefusedReason != s.self.RefusedReason
+	if a.Version != s.self.AppliedVersion {
 		s.heatHeld()
 	}
-	s.self.Applied, s.self.AppliedHash = a.Version, a.Hash
-	s.self.Refused = a.Refused
-	s.self.RefusedReason = a.RefusedReason[:min(len(a.RefusedReason), s.cfg.Limits.String)]
+	s.self.AppliedVersion, s.self.AppliedHash = a.Version, a.Hash
+	s.self.RefusedVersion = a.RefusedVersion
+	s.self.RefusedReason = a.RefusedReason[:min(len(a.RefusedReason), s.cfg.Limits.StringBytes)]
 	s.heldDirty = true
 	if refused {
 		s.changed(false)
@@ -133,13 +133,13 @@
 	r.VM, r.State = s.self.VM, VMAlive
 	if !s.cfg.Limits.allowed(encodeRecord(&r)) {
 		s.stats.Refused++
-		return ErrTooMuch
+		return ErrRecordTooLarge
 	}
 	return nil
 }
 
 // changed raises the record at once or, for a lazy change, at most every
-// RaiseEvery, so that a flapping backend server costs a bounded number of
+// RecordUpdateEvery, so that a flapping backend server costs a bounded number of
 // updates.
 func (s *State) changed(urgent bool) {
 	if urgent || !s.now.Before(s.own.nextRaise) {
@@ -156,8 +156,8 @@
 		s.self.Notices = keep
 		s.own.dirty = true
 	}
-	// Others drop a leaving record after LeavingFor; say that we live on.
-	stay := s.self.State == VMLeaving && s.now.Sub(s.own.nextRaise) > s.cfg.LeavingFor/2
+	// Others drop a leaving record after LeavingRetention; say that we live on.
+	stay := s.self.State == VMLeaving && s.now.Sub(s.own.nextRaise) > s.cfg.LeavingRetention/2
 	if (s.own.dirty || stay) && !s.now.Before(s.own.nextRaise) && s.own.superseded.IsZero() {
 		s.changeOwn(0, false)
 	}
@@ -179,7 +179,7 @@
 		s.changeOwn(st.incarnation+1, false)
 		return
 	}
-	s.stats.Duplicates++
+	s.stats.DuplicateIDs++
 	if st.incarnation == s.self.VM.Incarnation {
 		// Started in the same millisecond: part the two by chance.
 		s.changeOwn(st.incarnation+1+s.rnd.Uint64N(1000), false)
@@ -199,7 +199,7 @@
 // the cut do they say so. Had those had faster clocks, each node would take its
 // own past for a later process and carry no traffic any more.
 func (s *State) young() bool {
-	recent := func(at time.Time) bool { return s.now.Sub(at) < s.cfg.LeavingFor }
+	recent := func(at time.Time) bool { return s.now.Sub(at) < s.cfg.LeavingRetention }
 	return !s.joined || recent(s.own.joinedAt) || recent(s.own.metAt)
 }
 
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -10,9 +10,9 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// Send is a request that the caller of State has to make. What comes of it goes
+// OutgoingRequest is a request that the caller of State has to make. What comes of it goes
 // to HandleAnswer or HandleFailure under its ID.
-type Send struct {
+type OutgoingRequest struct {
 	ID      uint64
 	To      string // ID of the node, empty when only its address is known
 	Addr    string
@@ -63,7 +63,7 @@
 
 	nextID    uint64
 	pending   map[uint64]pending
-	out       []Send
+	out       []OutgoingRequest
 	relaying  map[uint64]relay
 	indirect  map[string]*indirect
 	roll      rollCall
@@ -114,7 +114,7 @@
 		own:       own{met: map[string]struct{}{}},
 		lastTick:  now,
 		lastOK:    now,
-		settled:   now.Add(cfg.Settle),
+		settled:   now.Add(cfg.SuspicionGrace),
 		nextProbe: now.Add(time.Duration(rnd.Int64N(int64(cfg.ProbeEvery)))),
 		nextSync:  now.Add(time.Duration(rnd.Int64N(int64(cfg.SyncEvery)))),
 		viewDirty: true,
@@ -147,7 +147,7 @@
 	s.stats.Pauses++
 	s.lastTick = now
 	s.lastOK = s.lastOK.Add(gap)
-	s.settled = now.Add(s.cfg.Settle)
+	s.settled = now.Add(s.cfg.SuspicionGrace)
 	clear(s.pending)
 	clear(s.relaying)
 	clear(s.indirect)
@@ -167,7 +167,7 @@
 
 // Tick does what is due and returns the requests to make. It is cheap when
 // nothing is due; call it every 100 ms and after every other input.
-func (s *State) Tick(now time.Time) []Send {
+func (s *State) Tick(now time.Time) []OutgoingRequest {
 	s.advance(now)
 	s.lastTick = now
 	s.tickOwn()
@@ -208,7 +208,7 @@
 		// never reports, so that pending stays bounded.
 		deadline: s.now.Add(2 * timeout),
 	}
-	s.out = append(s.out, Send{ID: s.nextID, To: to, Addr: addr, Kind: m.Kind, Msg: m, Timeout: timeout})
+	s.out = append(s.out, OutgoingRequest{ID: s.nextID, To: to, Addr: addr, Kind: m.Kind, Msg: m, Timeout: timeout})
 	t := &s.stats.Traffic[m.Kind]
 	t.Sent++
 	t.SentBytes += uint64(proto.Size(m))
@@ -220,7 +220,7 @@
 	m.From = s.self.VM.ID
 	m.Incarnation = s.self.VM.Incarnation
 	m.Sequence = s.self.Sequence
-	m.Version = s.self.Applied
+	m.Version = s.self.AppliedVersion
 	m.Joining = !s.joined
 }
 
--- a/internal/membership/stats.go
+++ b/internal/membership/stats.go
@@ -24,7 +24,7 @@
 	FalseSuspicions uint64 // of these, refuted
 	Refutations     uint64 // of claims about this node
 	Deaths          uint64 // decided by this node
-	HeldDeaths      uint64 // checks at which a declaration was put off, as the cut may be ours
+	DeferredDeaths  uint64 // checks at which a declaration was put off, as the cut may be ours
 	Pauses          uint64 // gaps between ticks taken for a pause
 	Refused         uint64 // records, claims and messages over a limit
 	JoinsServed     uint64
@@ -33,7 +33,7 @@
 	Syncs           uint64 // opened by this node
 	Pushes          uint64 // urgent messages sent
 	Views           uint64 // views built
-	Duplicates      uint64 // times another process was seen under this node's ID
+	DuplicateIDs    uint64 // times another process was seen under this node's ID
 	Health          int    // local health multiplier: 0 is well
 	// Traffic by kind; an answer counts under the kind of its request.
 	Traffic [kinds]Traffic
--- a/internal/membership/suspect.go
+++ b/internal/membership/suspect.go
@@ -142,7 +142,7 @@
 	slices.SortFunc(due, func(a, b *entry) int { return cmp.Compare(a.key, b.key) })
 	for _, e := range due {
 		if !s.mayDeclareDead() {
-			s.stats.HeldDeaths++
+			s.stats.DeferredDeaths++
 			continue
 		}
 		s.stats.Deaths++
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -29,7 +29,7 @@
 	}
 	peer.different++
 	patience, every := patientDifferences, s.cfg.SyncEvery
-	young := s.now.Sub(s.own.joinedAt) < s.cfg.LeavingFor
+	young := s.now.Sub(s.own.joinedAt) < s.cfg.LeavingRetention
 	if young {
 		// Just joined, perhaps along with a whole data centre, this node
 		// lacks more than what is on its way.
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -76,20 +76,20 @@
 	State    VMState
 	Backends []Backend
 	Notices  []Notice
-	// Applied is the number of the configuration version in force at the
-	// node, and Refused the newest one that it could not put in force. The hash
+	// AppliedVersion is the number of the configuration version in force at the
+	// node, and RefusedVersion the newest one that it could not put in force. The hash
 	// is zero where only the number is known.
-	Applied       uint64
-	AppliedHash   [8]byte
-	Refused       uint64
-	RefusedReason string
+	AppliedVersion uint64
+	AppliedHash    [8]byte
+	RefusedVersion uint64
+	RefusedReason  string
 }
 
-// Seen is a record with what this node itself observed of it.
-type Seen struct {
+// ObservedRecord is a record with what this node itself observed of it.
+type ObservedRecord struct {
 	Record
-	// Heard is when this node last learned anything new about the record.
-	Heard time.Time
+	// UpdatedAt is when this node last learned anything new about the record.
+	UpdatedAt time.Time
 }
 
 // View is an immutable picture of the membership. Nodes that are dead are not
@@ -97,23 +97,23 @@
 // state VMSuspect.
 type View struct {
 	Self    string
-	Records map[string]*Seen // by VM ID
+	Records map[string]*ObservedRecord // by VM ID
 	// CutOff names the data centres from which nothing has been heard for so
 	// long that the cut is taken to lie between them and this node.
 	CutOff map[string]time.Time
 }
 
-// Views holds the current View for readers on the path of a call.
-type Views struct {
+// CurrentView holds the current View for readers on the path of a call.
+type CurrentView struct {
 	p        atomic.Pointer[View]
 	onChange atomic.Pointer[func()]
 }
 
 // OnChange sets what is called after each new view. It must not block.
-func (v *Views) OnChange(f func()) { v.onChange.Store(&f) }
+func (v *CurrentView) OnChange(f func()) { v.onChange.Store(&f) }
 
 // Load returns the current view; it is never nil.
-func (v *Views) Load() *View {
+func (v *CurrentView) Load() *View {
 	if c := v.p.Load(); c != nil {
 		return c
 	}
@@ -121,7 +121,7 @@
 }
 
 // Store replaces the current view.
-func (v *Views) Store(n *View) {
+func (v *CurrentView) Store(n *View) {
 	v.p.Store(n)
 	if f := v.onChange.Load(); f != nil {
 		(*f)()
--- a/internal/node/conduct.go
+++ b/internal/node/conduct.go
@@ -289,7 +289,7 @@
 }
 
 // instruct tells the node of a VM, which may be this one.
-func (r *oneRollout) instruct(ctx context.Context, to *membership.Seen, m rollout.Message) ([]rollout.Answer, error) {
+func (r *oneRollout) instruct(ctx context.Context, to *membership.ObservedRecord, m rollout.Message) ([]rollout.Answer, error) {
 	q := encodeInstruction(m.Instruction)
 	if m.VM == r.n.self.ID {
 		return decodeAnswers(m.VM, r.n.rollouts.Instruct(q)), nil
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -122,9 +122,9 @@
 	n.self.Incarnation = uint64(time.Now().UnixMilli())
 	cfg := membership.DefaultConfig(n.self)
 	cfg.Seeds = n.set.Peers.Seeds
-	cfg.PushChanges = n.set.Profile == settings.ProfileTime
+	cfg.PushAllChanges = n.set.Profile == settings.ProfileTime
 	if n.o.Source != nil {
-		cfg = membership.Swift(cfg)
+		cfg = membership.FastConvergence(cfg)
 	}
 	if n.o.Membership != nil {
 		n.o.Membership(&cfg)
@@ -228,13 +228,13 @@
 // applied tells the membership which version is in force here.
 func (c *control) applied(s *config.Snapshot, refused *config.Refused) {
 	v := s.Version()
-	a := membership.Applied{Version: v.Number}
+	a := membership.ConfigStatus{Version: v.Number}
 	copy(a.Hash[:], v.Hash[:])
 	if refused != nil {
-		a.Refused = refused.Version.Number
+		a.RefusedVersion = refused.Version.Number
 		a.RefusedReason = refused.Err.Error()
 	}
-	c.members.SetApplied(a)
+	c.members.SetConfigStatus(a)
 }
 
 // backends tells the membership which backend servers are beside this node, and what they
@@ -243,7 +243,7 @@
 	c.telling.Lock()
 	defer c.telling.Unlock()
 	seen := c.n.rollouts.serve(time.Now(), c.n.registry.Load())
-	if err := c.members.SetBackends(announce.Members(seen)); err != nil {
+	if err := c.members.SetBackends(announce.MembershipBackends(seen)); err != nil {
 		c.n.log.Error().Err(err).Msg("membership: backend servers are not told")
 	}
 }
--- a/internal/node/discover.go
+++ b/internal/node/discover.go
@@ -64,7 +64,7 @@
 		n.log.Info().Err(err).Str("instance", a.Instance).Msg("announce: what the backend server says of itself is not taken")
 		return true
 	}
-	if visible := announce.Visible(changes); len(visible) > 0 {
+	if visible := announce.RecordChanges(changes); len(visible) > 0 {
 		n.backendsChanged(visible)
 	}
 	return true
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -18,7 +18,7 @@
 	if r == nil {
 		return 0, ""
 	}
-	return r.Refused, r.RefusedReason
+	return r.RefusedVersion, r.RefusedReason
 }
 
 // BreakListener closes the socket for callers under the node's feet.
--- a/internal/node/metrics_control.go
+++ b/internal/node/metrics_control.go
@@ -48,10 +48,10 @@
 	}{
 		{"probes", s.Probes}, {"probe_failures", s.ProbeFailures},
 		{"suspicions", s.Suspicions}, {"false_suspicions", s.FalseSuspicions},
-		{"refutations", s.Refutations}, {"deaths", s.Deaths}, {"held_deaths", s.HeldDeaths},
+		{"refutations", s.Refutations}, {"deaths", s.Deaths}, {"held_deaths", s.DeferredDeaths},
 		{"pauses", s.Pauses}, {"refused", s.Refused}, {"joins_served", s.JoinsServed},
 		{"joins_refused", s.JoinsRefused}, {"join_attempts", s.JoinAttempts},
-		{"syncs", s.Syncs}, {"pushes", s.Pushes}, {"views", s.Views}, {"duplicates", s.Duplicates},
+		{"syncs", s.Syncs}, {"pushes", s.Pushes}, {"views", s.Views}, {"duplicates", s.DuplicateIDs},
 	} {
 		p.counter("marlpass_membership_"+e.name+"_total", e.n)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,7 +67,7 @@
 	log   zerolog.Logger
 	self  membership.VM
 	ln    *listeners
-	views membership.Views
+	views membership.CurrentView
 	store *config.Store[*program]
 
 	registry   *announce.Registry
@@ -126,8 +126,8 @@
 	n.reports = &reports{n: n}
 	rows := n.set.Platform.Form == settings.FormRows
 	n.registry = announce.NewRegistry(announce.Limits{
-		TTL: n.set.Announce.TTLOr(announce.DefaultTTL), Max: announce.DefaultMax,
-		AnyAddress: rows, FreshNames: rows,
+		TTL: n.set.Announce.TTLOr(announce.DefaultTTL), MaxBackends: announce.DefaultMaxBackends,
+		AllowNonLoopback: rows, NoInstanceReuse: rows,
 	})
 	n.rollouts = newRollouts(n)
 	n.workspaces = newWorkspaces(n)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -169,7 +169,7 @@
 	return out
 }
 
-func holds(r *membership.Seen, service string) bool {
+func holds(r *membership.ObservedRecord, service string) bool {
 	for _, b := range r.Backends {
 		if b.Service == service {
 			return true
@@ -185,7 +185,7 @@
 // hold either: notices are kept until they expire, and those of a node that
 // means harm would take all the memory that control may have.
 func (a alerts) Alert(from string, ns []*peerpb.Notice) {
-	longest := membership.DefaultLimits().String
+	longest := membership.DefaultLimits().StringBytes
 	out := make([]membership.Notice, 0, len(ns))
 	for _, n := range ns {
 		if max(len(n.Kind), len(n.Id), len(n.Detail)) <= longest {
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -54,7 +54,7 @@
 			ExpiresMs: now.Add(time.Minute).UnixMilli(),
 		}
 	}
-	long := strings.Repeat("x", membership.DefaultLimits().String)
+	long := strings.Repeat("x", membership.DefaultLimits().StringBytes)
 	alerts{n}.Alert("vm-1", []*peerpb.Notice{notice("1", long), notice("2", "GET /slips"), notice("3", long)})
 	held := n.calls.suspects.list.Entries(now)
 	if len(held) != 1 || held[0].What != "GET /slips" {
--- a/internal/node/pickers.go
+++ b/internal/node/pickers.go
@@ -101,7 +101,7 @@
 			out[service] = true
 		}
 	}
-	var old map[string]*membership.Seen
+	var old map[string]*membership.ObservedRecord
 	if p.view != nil {
 		old = p.view.Records
 	}
@@ -120,7 +120,7 @@
 }
 
 // sameEndpoints reports whether two records of one VM give the same endpoints.
-func sameEndpoints(a, b *membership.Seen) bool {
+func sameEndpoints(a, b *membership.ObservedRecord) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
@@ -128,7 +128,7 @@
 }
 
 // note adds the services of a record.
-func note(services map[string]bool, r *membership.Seen) {
+func note(services map[string]bool, r *membership.ObservedRecord) {
 	if r == nil {
 		return
 	}
@@ -178,7 +178,7 @@
 
 // madeEndpoints are the endpoints of one record, one for each backend server.
 type madeEndpoints struct {
-	of   *membership.Seen
+	of   *membership.ObservedRecord
 	list []route.Endpoint
 }
 
@@ -207,7 +207,7 @@
 	return out
 }
 
-func makeEndpoints(r *membership.Seen) madeEndpoints {
+func makeEndpoints(r *membership.ObservedRecord) madeEndpoints {
 	made := madeEndpoints{of: r, list: make([]route.Endpoint, len(r.Backends))}
 	for i, b := range r.Backends {
 		made.list[i] = endpointOf(r, b)
@@ -215,7 +215,7 @@
 	return made
 }
 
-func endpointOf(r *membership.Seen, b membership.Backend) route.Endpoint {
+func endpointOf(r *membership.ObservedRecord, b membership.Backend) route.Endpoint {
 	e := route.Endpoint{
 		ID:         r.VM.ID + endpointSep + b.Instance,
 		VM:         r.VM.ID,
--- a/internal/node/pickers_bench_test.go
+++ b/internal/node/pickers_bench_test.go
@@ -14,10 +14,10 @@
 // viewOf is a view of n nodes in 5 data centres, each with a backend server of
 // one of 61 services.
 func viewOf(n int) *membership.View {
-	v := &membership.View{Self: "vm-0", Records: make(map[string]*membership.Seen, n)}
+	v := &membership.View{Self: "vm-0", Records: make(map[string]*membership.ObservedRecord, n)}
 	for i := range n {
 		id := fmt.Sprintf("vm-%d", i)
-		v.Records[id] = &membership.Seen{Record: membership.Record{
+		v.Records[id] = &membership.ObservedRecord{Record: membership.Record{
 			VM: membership.VM{
 				ID: id, Region: fmt.Sprintf("region-%d", i%5/3), DataCentre: fmt.Sprintf("dc-%d", i%5),
 				CallAddr: fmt.Sprintf("10.0.%d.%d:7302", i/250, i%250),
--- a/internal/node/pickers_test.go
+++ b/internal/node/pickers_test.go
@@ -29,7 +29,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		p := newPickers(self, false)
-		view := &membership.View{Self: self.ID, Records: map[string]*membership.Seen{}}
+		view := &membership.View{Self: self.ID, Records: map[string]*membership.ObservedRecord{}}
 		for range rapid.IntRange(1, 12).Draw(t, "views") {
 			view = changed(t, view)
 			p.update(now, view)
@@ -53,7 +53,7 @@
 // changed returns a view in which some records are replaced, added or gone, and
 // the others are shared with v.
 func changed(t *rapid.T, v *membership.View) *membership.View {
-	next := &membership.View{Self: v.Self, Records: map[string]*membership.Seen{}}
+	next := &membership.View{Self: v.Self, Records: map[string]*membership.ObservedRecord{}}
 	for i := range 8 {
 		id := fmt.Sprintf("vm-%d", i)
 		switch rapid.IntRange(0, 3).Draw(t, id) {
@@ -66,7 +66,7 @@
 		case 2:
 			if r := v.Records[id]; r != nil {
 				copied := *r
-				copied.Applied++
+				copied.AppliedVersion++
 				next.Records[id] = &copied
 			}
 		}
@@ -74,8 +74,8 @@
 	return next
 }
 
-func drawRecord(t *rapid.T, id string) *membership.Seen {
-	r := &membership.Seen{Record: membership.Record{
+func drawRecord(t *rapid.T, id string) *membership.ObservedRecord {
+	r := &membership.ObservedRecord{Record: membership.Record{
 		VM:    membership.VM{ID: id, DataCentre: "dc-0", Region: "region-0", CallAddr: rapid.SampledFrom([]string{"a:1", "a:2"}).Draw(t, "addr")},
 		State: rapid.SampledFrom([]membership.VMState{membership.VMAlive, membership.VMSuspect, membership.VMLeaving}).Draw(t, "state"),
 	}}
--- a/internal/node/refresh.go
+++ b/internal/node/refresh.go
@@ -131,7 +131,7 @@
 		n.log.Info().Str("service", c.Backend.Service).Str("instance", c.Backend.Instance).
 			Stringer("change", c.Kind).Msg("announce: backend server changed")
 		if c.Kind == announce.Replaced {
-			n.calls.suspects.replaced(backendOf(c.Backend), c.Was)
+			n.calls.suspects.replaced(backendOf(c.Backend), c.PreviousState)
 		}
 	}
 }
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -148,7 +148,7 @@
 	for i, b := range list {
 		s := old[b.Instance]
 		if s == nil || s.version != b.Version || s.service != b.Service {
-			s = &versionedServer{service: b.Service, version: b.Version, since: now, warmAt: b.LoadAt.Add(b.ColdFor)}
+			s = &versionedServer{service: b.Service, version: b.Version, since: now, warmAt: b.LoadAt.Add(b.WarmupRemaining)}
 		}
 		next[b.Instance] = s
 		r.admit(now, s)
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -233,7 +233,7 @@
 		o.Membership = func(c *membership.Config) {
 			if before != nil {
 				before(c)
-				c.LeavingFor = time.Millisecond
+				c.LeavingRetention = time.Millisecond
 			}
 		}
 	})
--- a/internal/node/view_log.go
+++ b/internal/node/view_log.go
@@ -16,7 +16,7 @@
 // viewChange is a node that differs between two views.
 type viewChange struct {
 	peer     string
-	now, was *membership.Seen // nil where it is not in that view
+	now, was *membership.ObservedRecord // nil where it is not in that view
 }
 
 // viewChanges returns the nodes other than self that came, went or changed their state, by ID.
--- a/internal/node/workspaces.go
+++ b/internal/node/workspaces.go
@@ -229,7 +229,7 @@
 	return nil, false
 }
 
-func (w *workspaces) send(ctx context.Context, to *membership.Seen, usage []quota.Usage, summed bool) ([]quota.Part, error) {
+func (w *workspaces) send(ctx context.Context, to *membership.ObservedRecord, usage []quota.Usage, summed bool) ([]quota.Part, error) {
 	ctx, cancel := context.WithTimeout(ctx, usageBound)
 	defer cancel()
 	parts, err := w.n.control.peers.Usage(ctx, to.VM.ID, to.VM.ControlAddr, &peerpb.UsageRequest{
--- a/internal/peer/runner_test.go
+++ b/internal/peer/runner_test.go
@@ -73,7 +73,7 @@
 	stop   func()
 }
 
-func startReal(t *testing.T, ca *trusttest.CA, vm string, l net.Listener, views *membership.Views, p *table) *realNode {
+func startReal(t *testing.T, ca *trusttest.CA, vm string, l net.Listener, views *membership.CurrentView, p *table) *realNode {
 	store, err := config.NewStore(func(*config.Snapshot) (int, error) { return 0, nil })
 	if err != nil {
 		t.Fatal(err)
@@ -131,8 +131,8 @@
 // the same version, from its peers alone.
 func TestChangeAndRestartOverRealSockets(t *testing.T) {
 	ca, p := trusttest.NewCA(t), &table{head: config.Empty()}
-	views := new(membership.Views)
-	view := &membership.View{Records: make(map[string]*membership.Seen)}
+	views := new(membership.CurrentView)
+	view := &membership.View{Records: make(map[string]*membership.ObservedRecord)}
 	listeners := make(map[string]net.Listener)
 	ids := []string{"vm-a", "vm-b", "vm-c"}
 	for _, id := range ids {
@@ -141,7 +141,7 @@
 			t.Fatal(err)
 		}
 		listeners[id] = l
-		view.Records[id] = &membership.Seen{Record: membership.Record{State: membership.VMAlive, VM: membership.VM{
+		view.Records[id] = &membership.ObservedRecord{Record: membership.Record{State: membership.VMAlive, VM: membership.VM{
 			ID: id, DataCentre: "neg-shed", ControlAddr: l.Addr().String(),
 		}}}
 	}
--- a/internal/query/blind.go
+++ b/internal/query/blind.go
@@ -62,7 +62,7 @@
 		nodes[r.VM.DataCentre]++
 		_, cut := v.CutOff[r.VM.DataCentre]
 		if !cut && r.VM.ID != v.Self && r.State == membership.VMSuspect {
-			b.Silent = append(b.Silent, SilentNode{r.VM.ID, r.VM.DataCentre, age(now, r.Heard)})
+			b.Silent = append(b.Silent, SilentNode{r.VM.ID, r.VM.DataCentre, age(now, r.UpdatedAt)})
 		}
 	}
 	for dc, since := range v.CutOff {
@@ -72,12 +72,12 @@
 	return b
 }
 
-func sortedRecords(v *membership.View) []*membership.Seen {
-	out := make([]*membership.Seen, 0, len(v.Records))
+func sortedRecords(v *membership.View) []*membership.ObservedRecord {
+	out := make([]*membership.ObservedRecord, 0, len(v.Records))
 	for _, r := range v.Records {
 		out = append(out, r)
 	}
-	slices.SortFunc(out, func(a, b *membership.Seen) int { return strings.Compare(a.VM.ID, b.VM.ID) })
+	slices.SortFunc(out, func(a, b *membership.ObservedRecord) int { return strings.Compare(a.VM.ID, b.VM.ID) })
 	return out
 }
 
--- a/internal/query/handover.go
+++ b/internal/query/handover.go
@@ -199,21 +199,21 @@
 	return v
 }
 
-func (v *Versions) add(r *membership.Seen, view *membership.View, now time.Time) {
+func (v *Versions) add(r *membership.ObservedRecord, view *membership.View, now time.Time) {
 	refusal := NodeRefusal{VM: r.VM.ID, DataCentre: r.VM.DataCentre}
-	if r.Refused > r.Applied {
-		refusal.Version, refusal.Reason = r.Refused, r.RefusedReason
+	if r.RefusedVersion > r.AppliedVersion {
+		refusal.Version, refusal.Reason = r.RefusedVersion, r.RefusedReason
 		v.Refusing = append(v.Refusing, refusal)
 	}
 	switch {
-	case r.Applied < v.Accepted.Number:
+	case r.AppliedVersion < v.Accepted.Number:
 		_, cut := view.CutOff[r.VM.DataCentre]
 		v.Behind = append(v.Behind, NodeBehind{
-			VM: r.VM.ID, DataCentre: r.VM.DataCentre, InForce: r.Applied,
-			Versions: v.Accepted.Number - r.Applied, AgeMS: age(now, r.Heard), CutOff: cut,
+			VM: r.VM.ID, DataCentre: r.VM.DataCentre, InForce: r.AppliedVersion,
+			Versions: v.Accepted.Number - r.AppliedVersion, AgeMS: age(now, r.UpdatedAt), CutOff: cut,
 		})
-	case r.Applied == v.Accepted.Number && otherHash(r, v.Accepted):
-		refusal.Version, refusal.Reason = r.Applied, "runs the same number with another hash"
+	case r.AppliedVersion == v.Accepted.Number && otherHash(r, v.Accepted):
+		refusal.Version, refusal.Reason = r.AppliedVersion, "runs the same number with another hash"
 		v.OtherHistory = append(v.OtherHistory, refusal)
 	default:
 		v.NodesCurrent++
@@ -222,7 +222,7 @@
 
 // otherHash reports whether r tells another hash than v has. Of most nodes only
 // the number of the version is known.
-func otherHash(r *membership.Seen, v config.Version) bool {
+func otherHash(r *membership.ObservedRecord, v config.Version) bool {
 	return r.AppliedHash != [8]byte{} && !bytes.Equal(r.AppliedHash[:], v.Hash[:len(r.AppliedHash)])
 }
 
@@ -232,7 +232,7 @@
 		for _, b := range r.Backends {
 			e := Endpoint{
 				Service: b.Service, VM: r.VM.ID, DataCentre: r.VM.DataCentre,
-				Instance: b.Instance, AgeMS: age(now, r.Heard),
+				Instance: b.Instance, AgeMS: age(now, r.UpdatedAt),
 			}
 			switch {
 			case r.State == membership.VMLeaving:
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -131,16 +131,16 @@
 	}
 }
 
-func record(vm, dc string, applied uint64, h config.Hash, heard time.Time) *membership.Seen {
-	r := membership.Record{VM: membership.VM{ID: vm, DataCentre: dc}, State: membership.VMAlive, Applied: applied}
+func record(vm, dc string, applied uint64, h config.Hash, heard time.Time) *membership.ObservedRecord {
+	r := membership.Record{VM: membership.VM{ID: vm, DataCentre: dc}, State: membership.VMAlive, AppliedVersion: applied}
 	copy(r.AppliedHash[:], h[:])
-	return &membership.Seen{Record: r, Heard: heard}
+	return &membership.ObservedRecord{Record: r, UpdatedAt: heard}
 }
 
 // trouble is a mesh in which everything that handover tells of has happened.
 func trouble() HandoverInput {
 	v7 := config.Version{Number: 7, Hash: config.Hash{7}}
-	records := map[string]*membership.Seen{
+	records := map[string]*membership.ObservedRecord{
 		"a1": record("a1", "neg-shed", 7, v7.Hash, now),
 		"a2": record("a2", "neg-shed", 5, config.Hash{5}, ago(time.Second)),
 		"a3": record("a3", "neg-shed", 6, config.Hash{6}, ago(time.Second)),
@@ -148,7 +148,7 @@
 		"b1": record("b1", "gal-slip", 6, config.Hash{6}, ago(10*time.Minute)),
 		"b2": record("b2", "gal-slip", 7, v7.Hash, ago(10*time.Minute)),
 	}
-	records["a3"].Refused, records["a3"].RefusedReason = 7, "unknown field"
+	records["a3"].RefusedVersion, records["a3"].RefusedReason = 7, "unknown field"
 	records["a1"].Backends = []membership.Backend{
 		{Service: "berth", Instance: "i1", State: membership.BackendReady},
 		{Service: "berth", Instance: "i2", State: membership.BackendDraining},
@@ -232,7 +232,7 @@
 	v1 := config.Version{Number: 1, Hash: config.Hash{1}}
 	in := HandoverInput{
 		Config: ConfigState{InForce: v1}, Platform: PlatformState{Accepted: v1, LastAnswer: now},
-		View:    &membership.View{Self: "a1", Records: map[string]*membership.Seen{"a1": record("a1", "dc", 1, v1.Hash, now)}},
+		View:    &membership.View{Self: "a1", Records: map[string]*membership.ObservedRecord{"a1": record("a1", "dc", 1, v1.Hash, now)}},
 		Reports: reportsOf(now),
 	}
 	h := HandoverOf(in, now)
@@ -282,7 +282,7 @@
 // more when one was.
 func TestNodeWithoutNewsIsNotSilent(t *testing.T) {
 	v1 := config.Version{Number: 1, Hash: config.Hash{1}}
-	records := map[string]*membership.Seen{
+	records := map[string]*membership.ObservedRecord{
 		"a1": record("a1", "dc", 1, v1.Hash, now),
 		"a2": record("a2", "dc", 1, v1.Hash, ago(8*time.Hour)),
 		"a3": record("a3", "dc", 1, v1.Hash, ago(time.Second)),
--- a/internal/query/reports.go
+++ b/internal/query/reports.go
@@ -112,7 +112,7 @@
 	for _, vm := range r.Missing {
 		n := SilentNode{VM: vm, DataCentre: centreOf(v, vm)}
 		if rec := v.Records[vm]; rec != nil {
-			n.AgeMS = age(now, rec.Heard)
+			n.AgeMS = age(now, rec.UpdatedAt)
 		}
 		out = append(out, n)
 	}
