--- a/internal/admin/quarantine.go
+++ b/internal/admin/quarantine.go
@@ -17,7 +17,7 @@
 // the one who is awake has to be able to let it go; two more crashes put it
 // back. The notice names the operator and the team.
 func (h handler) LiftQuarantine(ctx context.Context, p adminapi.LiftQuarantineParams) (*adminapi.Lifted, error) {
-	fp, err := quarantine.Parse(string(p.Fingerprint))
+	fp, err := quarantine.ParseFingerprint(string(p.Fingerprint))
 	if err != nil {
 		return nil, &parameterError{"fingerprint", "must be 32 hexadecimal digits"}
 	}
--- a/internal/node/handover_quarantine.go
+++ b/internal/node/handover_quarantine.go
@@ -33,7 +33,7 @@
 	for _, e := range n.calls.suspects.list.Entries(now) {
 		q := query.Quarantine{
 			ID: e.Fingerprint.String(), State: quarantineStates[e.Kind],
-			Detail: e.What, By: e.By, Expires: e.Expires,
+			Detail: e.RequestLine, By: e.LiftedBy, Expires: e.Expires,
 			Service: strings.Join(servicesOf(v, e), ","),
 		}
 		for _, c := range e.Crashes {
@@ -81,7 +81,7 @@
 		return "", quarantine.ErrNotListed
 	}
 	if held.Kind == quarantine.KindLifted {
-		return held.By, nil
+		return held.LiftedBy, nil
 	}
 	if err := list.Lift(now, fp, by); err != nil {
 		return "", err
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -57,7 +57,7 @@
 	long := strings.Repeat("x", membership.DefaultLimits().String)
 	alerts{n}.Alert("vm-1", []*peerpb.Notice{notice("1", long), notice("2", "GET /slips"), notice("3", long)})
 	held := n.calls.suspects.list.Entries(now)
-	if len(held) != 1 || held[0].What != "GET /slips" {
-		t.Errorf("holds %d, of which the first is %.40q", len(held), held[0].What)
+	if len(held) != 1 || held[0].RequestLine != "GET /slips" {
+		t.Errorf("holds %d, of which the first is %.40q", len(held), held[0].RequestLine)
 	}
 }
--- a/internal/node/pickers.go
+++ b/internal/node/pickers.go
@@ -70,7 +70,7 @@
 		if picker == nil {
 			picker = route.New(route.Options{
 				Self: p.self.ID, DataCentre: p.self.DataCentre, Region: p.self.Region,
-				Weighed: p.weighed, OnEject: p.onEject,
+				RegionWide: p.weighed, OnEject: p.onEject,
 			})
 			next[service] = picker
 		}
@@ -252,13 +252,13 @@
 	var c route.Choice
 	var err error
 	if a.Look != proxy.LookNot {
-		c, err = picker.Look(now, a.Look == proxy.LookNear, a.Tried)
+		c, err = picker.PickFreeSlot(now, a.Look == proxy.LookNear, a.Tried)
 	} else if t.RatePerSecond > 0 && len(a.Tried) > 0 {
 		// Every endpoint has an equal part of the rate. Where most callers
 		// are in one data centre, what is left is in the others.
 		c, err = picker.PickAnywhere(now, a.Tried)
 	} else {
-		c, err = picker.PickFor(now, route.Ask{Tried: a.Tried, Repeatable: t.Idempotent, Far: size.far()})
+		c, err = picker.PickFor(now, route.PickInfo{Tried: a.Tried, Idempotent: t.Idempotent, RemoteCost: size.far()})
 	}
 	if err != nil {
 		return nil, err
@@ -268,7 +268,7 @@
 
 // PickFixed implements proxy.Pickers.
 func (p *pickers) PickFixed(now time.Time, t *config.Target, key uint64, tried []string) (proxy.Choice, error) {
-	c, err := p.of(t.Service).PickFixed(now, key, tried)
+	c, err := p.of(t.Service).PickByKey(now, key, tried)
 	if err != nil {
 		return nil, err
 	}
@@ -280,9 +280,9 @@
 	return p.of(t.Service).TriedAll(now, tried)
 }
 
-// fixed returns the ID of the endpoint that PickFixed picks, or "".
+// fixed returns the ID of the endpoint that route.Picker.PickByKey picks, or "".
 func (p *pickers) fixed(now time.Time, service string, key uint64, avoid []string) string {
-	return p.of(service).Fixed(now, key, avoid)
+	return p.of(service).EndpointByKey(now, key, avoid)
 }
 
 // choice gives route.Choice the shape that the proxy asks for. It is used again
@@ -306,11 +306,11 @@
 
 func (c *choice) Done(now time.Time, r proxy.Report) {
 	c.c.Done(now, route.Report{
-		Outcome: r.Outcome,
-		Failed:  r.Failed,
-		Left:    r.Left,
-		Refused: r.Refused,
-		Latency: r.Latency, LinkWait: r.LinkWait,
+		Outcome:   r.Outcome,
+		Failed:    r.Failed,
+		Cancelled: r.Left,
+		Refused:   r.Refused,
+		Latency:   r.Latency, LinkWait: r.LinkWait,
 		Load: route.Load{Busy: r.Load.Busy, Slots: r.Load.Slots, Present: r.Load.Known},
 	})
 	if r.Outcome == call.Ran && !r.Failed {
--- a/internal/node/report.go
+++ b/internal/node/report.go
@@ -75,7 +75,7 @@
 			_, instance, _ := strings.Cut(s.Endpoint.ID, endpointSep)
 			out = append(out, &peerpb.Ejection{
 				Service: service, Vm: s.Endpoint.VM, Instance: instance,
-				FailedPercent: uint32(math.Round(100 * s.Failures)),
+				FailedPercent: uint32(math.Round(100 * s.FailureRate)),
 			})
 		}
 	}
--- a/internal/node/sizes.go
+++ b/internal/node/sizes.go
@@ -51,7 +51,7 @@
 // the near side is full, its refusal sends the call across.
 const farLeast = 0.4
 
-// far returns what the way to another data centre weighs; see route.Ask.
+// far returns what the way to another data centre weighs; see route.PickInfo.
 func (s *answerSize) far() float64 {
 	return farLeast + math.Float64frombits(s.bits.Load())/farBytes
 }
--- a/internal/node/sizes_test.go
+++ b/internal/node/sizes_test.go
@@ -14,7 +14,7 @@
 // while a slot is free near by, and cross when all are taken.
 func TestSmallAnswersStayNearWhileThereIsRoom(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := route.New(route.Options{Self: "vm-9", DataCentre: "dc-0", Region: "r", Weighed: true, Seed: 7})
+	p := route.New(route.Options{Self: "vm-9", DataCentre: "dc-0", Region: "r", RegionWide: true, Seed: 7})
 	var eps []route.Endpoint
 	for i := range 6 {
 		eps = append(eps, route.Endpoint{
@@ -25,7 +25,7 @@
 	p.Update(now, eps)
 	size := new(answerSize)
 	size.add(400)
-	ask := route.Ask{Far: size.far()}
+	ask := route.PickInfo{RemoteCost: size.far()}
 	crossed := func(open int) int {
 		var held []route.Choice
 		n := 0
--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -50,7 +50,7 @@
 	if !blocked {
 		return nil
 	}
-	return e.Refuse(now)
+	return e.NewRefusal(now)
 }
 
 // Isolated implements proxy.Suspects.
@@ -84,7 +84,7 @@
 }
 
 // Done implements proxy.Suspects.
-func (s *suspects) Done(now time.Time, b proxy.Backend, tok quarantine.Token, end quarantine.End) {
+func (s *suspects) Done(now time.Time, b proxy.Backend, tok quarantine.Token, end quarantine.RunResult) {
 	s.list.Done(now, tok, end)
 	if end != quarantine.Broken {
 		return
@@ -115,7 +115,7 @@
 		ConnectRefused: errors.Is(err, syscall.ECONNREFUSED),
 		Leaving:        b.State == membership.BackendDraining,
 	}
-	if evidence.Crash() {
+	if evidence.IsCrash() {
 		s.crashed(b, s.list.Crashed(time.Now(), b.Instance))
 	}
 }
@@ -126,7 +126,7 @@
 // plan.
 func (s *suspects) replaced(b proxy.Backend, was membership.BackendState) {
 	evidence := quarantine.Evidence{Broken: true, Restarted: true, Leaving: was == membership.BackendDraining}
-	if !evidence.Crash() {
+	if !evidence.IsCrash() {
 		return
 	}
 	if urgent := s.list.Restarted(time.Now(), b.Instance); len(urgent) > 0 {
--- a/internal/node/suspects_test.go
+++ b/internal/node/suspects_test.go
@@ -26,7 +26,7 @@
 	}, t
 }
 
-var slowBooking = quarantine.Of("POST", "", "/slow", "", nil, 0, nil)
+var slowBooking = quarantine.NewFingerprint("POST", "", "/slow", "", nil, 0, nil)
 
 func (s *suspects) begin(t *testing.T, b proxy.Backend) quarantine.Token {
 	t.Helper()
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -161,7 +161,7 @@
 
 // fingerprintOf recognises a request when it is sent again.
 func fingerprintOf(r *http.Request, h http.Header, b *body) quarantine.Fingerprint {
-	return quarantine.Of(r.Method, r.Host, r.URL.Path, r.URL.RawQuery, h, b.length, b.kept)
+	return quarantine.NewFingerprint(r.Method, r.Host, r.URL.Path, r.URL.RawQuery, h, b.length, b.kept)
 }
 
 // setExpect asks the destination node to say when it wants the body, if the
--- a/internal/proxy/entry_pick.go
+++ b/internal/proxy/entry_pick.go
@@ -56,7 +56,7 @@
 
 // settled reports whether the next endpoint has to take the suspect.
 func (c *entering) settled() bool {
-	return c.isolated && (len(c.closed) > 0 || len(c.pinned) >= quarantine.MaxPinned)
+	return c.isolated && (len(c.closed) > 0 || len(c.pinned) >= quarantine.MaxPinnedRefusals)
 }
 
 // takesNone reports whether the refusal says that the endpoint takes no calls.
--- a/internal/proxy/holding.go
+++ b/internal/proxy/holding.go
@@ -160,14 +160,14 @@
 
 // endOf tells how a run without an answer ended. One that this node ended, since
 // its bound passed or its caller left, says nothing of the backend server.
-func endOf(a *answer) quarantine.End {
+func endOf(a *answer) quarantine.RunResult {
 	if a.refusal != nil || a.expired || errors.Is(a.err, context.Canceled) {
 		return quarantine.Dropped
 	}
 	return quarantine.Broken
 }
 
-func (h *holding) unmark(d *Destination, now time.Time, end quarantine.End) {
+func (h *holding) unmark(d *Destination, now time.Time, end quarantine.RunResult) {
 	if h.marked {
 		h.marked = false
 		d.Suspects.Done(now, h.backend, h.mark, end)
--- a/internal/proxy/look_model_test.go
+++ b/internal/proxy/look_model_test.go
@@ -87,7 +87,7 @@
 		m.eps = append(m.eps, route.Endpoint{ID: node.id, VM: node.id, DataCentre: node.centre, Region: "r", Slots: modelSlots, Ready: true})
 	}
 	for i, node := range m.nodes {
-		node.picker = route.New(route.Options{Self: node.id, DataCentre: node.centre, Region: "r", Seed: uint64(i + 1), Weighed: true, SlowStart: slow})
+		node.picker = route.New(route.Options{Self: node.id, DataCentre: node.centre, Region: "r", Seed: uint64(i + 1), RegionWide: true, SlowStart: slow})
 		node.picker.Update(m.start, m.eps)
 	}
 	return m
@@ -138,13 +138,13 @@
 	n := c.from
 	if m.looks && len(c.tried) == 0 {
 		for look := c.search.first(&n.free); look != LookNot; look = c.search.farther(look, &n.free) {
-			if choice, err := n.picker.Look(now, look == LookNear, c.search.looked); err == nil {
+			if choice, err := n.picker.PickFreeSlot(now, look == LookNear, c.search.looked); err == nil {
 				c.search.look = look
 				return choice, false
 			}
 		}
 	}
-	choice, err := n.picker.PickFor(now, route.Ask{Tried: c.tried, Far: 0.4})
+	choice, err := n.picker.PickFor(now, route.PickInfo{Tried: c.tried, RemoteCost: 0.4})
 	if err != nil {
 		panic(err) // every endpoint of the model takes calls
 	}
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -228,5 +228,5 @@
 	// Start notes that the request is about to run. Its error is a
 	// *call.Refusal.
 	Start(now time.Time, b Backend, fp quarantine.Fingerprint, what quarantine.Request) (quarantine.Token, error)
-	Done(now time.Time, b Backend, tok quarantine.Token, end quarantine.End)
+	Done(now time.Time, b Backend, tok quarantine.Token, end quarantine.RunResult)
 }
--- a/internal/proxy/quiet_test.go
+++ b/internal/proxy/quiet_test.go
@@ -118,7 +118,7 @@
 
 func (l listed) Blocked(now time.Time, fp quarantine.Fingerprint) *call.Refusal {
 	if e, blocked := l.List.Blocked(now, fp); blocked {
-		return e.Refuse(now)
+		return e.NewRefusal(now)
 	}
 	return nil
 }
@@ -129,7 +129,7 @@
 	return quarantine.Token{}, nil
 }
 
-func (l listed) Done(time.Time, Backend, quarantine.Token, quarantine.End) {}
+func (l listed) Done(time.Time, Backend, quarantine.Token, quarantine.RunResult) {}
 
 // A connection goes silent in the middle of an archive. The exporter saw
 // neither the rest nor an end for half a minute, although the class promises an
@@ -196,12 +196,12 @@
 // suspectAll takes every request for a suspect.
 type suspectAll struct{}
 
-func (suspectAll) Blocked(time.Time, quarantine.Fingerprint) *call.Refusal   { return nil }
-func (suspectAll) Isolated(time.Time, quarantine.Fingerprint) bool           { return true }
-func (suspectAll) CrashedAt(time.Time, quarantine.Fingerprint) []string      { return nil }
-func (suspectAll) Broke(time.Time, quarantine.Fingerprint, string)           {}
-func (suspectAll) Answered(time.Time, quarantine.Fingerprint)                {}
-func (suspectAll) Done(time.Time, Backend, quarantine.Token, quarantine.End) {}
+func (suspectAll) Blocked(time.Time, quarantine.Fingerprint) *call.Refusal         { return nil }
+func (suspectAll) Isolated(time.Time, quarantine.Fingerprint) bool                 { return true }
+func (suspectAll) CrashedAt(time.Time, quarantine.Fingerprint) []string            { return nil }
+func (suspectAll) Broke(time.Time, quarantine.Fingerprint, string)                 {}
+func (suspectAll) Answered(time.Time, quarantine.Fingerprint)                      {}
+func (suspectAll) Done(time.Time, Backend, quarantine.Token, quarantine.RunResult) {}
 func (suspectAll) Pinned(time.Time, Backend, quarantine.Fingerprint) *call.Refusal {
 	return nil
 }
--- a/internal/proxy/report_test.go
+++ b/internal/proxy/report_test.go
@@ -21,7 +21,7 @@
 			p := route.New(route.Options{Self: "vm1", Seed: 1})
 			p.Update(now, []route.Endpoint{{ID: "a/1", Ready: true}, {ID: "b/1", Ready: true}})
 			for range 10 {
-				c, err := p.PickFixed(now, 1, nil)
+				c, err := p.PickByKey(now, 1, nil)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/quarantine/bounds_test.go
+++ b/internal/quarantine/bounds_test.go
@@ -95,12 +95,12 @@
 
 func BenchmarkFingerprint(b *testing.B) {
 	h := http.Header{"Accept": {"application/json"}, "Content-Type": {"application/json"}}
-	for _, n := range []int{0, 256, HeadBytes} {
+	for _, n := range []int{0, 256, FingerprintBodyBytes} {
 		b.Run(fmt.Sprintf("head=%d", n), func(b *testing.B) {
 			head := make([]byte, n)
 			b.ReportAllocs()
 			for b.Loop() {
-				Of("POST", "berths.example", "/bookings/haul-out", "", h, int64(n), head)
+				NewFingerprint("POST", "berths.example", "/bookings/haul-out", "", h, int64(n), head)
 			}
 		})
 	}
--- a/internal/quarantine/detail.go
+++ b/internal/quarantine/detail.go
@@ -21,10 +21,10 @@
 
 // detail is the Detail of a notice.
 type detail struct {
-	What    string   `json:"what,omitempty"`
-	Crashes []Crash  `json:"crashes,omitempty"`
-	Lifted  []string `json:"lifted,omitempty"`
-	By      string   `json:"by,omitempty"`
+	RequestLine string   `json:"what,omitempty"`
+	Crashes     []Crash  `json:"crashes,omitempty"`
+	Lifted      []string `json:"lifted,omitempty"`
+	LiftedBy    string   `json:"by,omitempty"`
 }
 
 // detail returns what a notice tells of e, cut to what fits.
@@ -38,27 +38,27 @@
 func (e *Entry) detail() string {
 	crashes := slices.Clone(e.Crashes)
 	slices.SortStableFunc(crashes, func(a, b Crash) int { return b.score() - a.score() })
-	d := detail{Crashes: crashes, Lifted: e.Lifted, By: cut(e.By, maxBy)}
+	d := detail{Crashes: crashes, Lifted: e.Lifted, LiftedBy: cut(e.LiftedBy, maxBy)}
 	for len(d.encode()) > maxDetail {
 		switch {
 		case len(d.Crashes) > 1:
 			d.Crashes = d.Crashes[:len(d.Crashes)-1]
 		case len(d.Lifted) > 0:
 			d.Lifted = d.Lifted[1:]
-		case d.By != "":
-			d.By = ""
+		case d.LiftedBy != "":
+			d.LiftedBy = ""
 		default:
 			d.Crashes = nil // of a name that no settings allow
 		}
 	}
 	room := maxDetail - len(d.encode()) - len(`"what":"",`)
 	for n := min(maxWhat, room); n > 0; n-- {
-		d.What = cut(e.What, n)
+		d.RequestLine = cut(e.RequestLine, n)
 		if text := d.encode(); len(text) <= maxDetail {
 			return text
 		}
 	}
-	d.What = ""
+	d.RequestLine = ""
 	return d.encode()
 }
 
--- a/internal/quarantine/detail_test.go
+++ b/internal/quarantine/detail_test.go
@@ -59,7 +59,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	old := l.lookup(now, culprit)
-	c := Crash{ID: l.opt.Self + "/" + endpoint + "/" + "mh3x2k1" + string(rune('a'+now.Second())) + ".1", Proof: old != nil && len(old.Crashes) > 0}
+	c := Crash{ID: l.opt.Self + "/" + endpoint + "/" + "mh3x2k1" + string(rune('a'+now.Second())) + ".1", Conclusive: old != nil && len(old.Crashes) > 0}
 	next := entries{culprit: l.blame(now, old, r, c)}
 	l.claim(culprit)
 	l.publish(now, next)
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -34,19 +34,19 @@
 type Crash struct {
 	// ID is unique in the mesh: VM, backend server and moment.
 	ID string `json:"id"`
-	// Known says that the request had been answered at that node before. Many
+	// AnsweredBefore says that the request had been answered at that node before. Many
 	// callers send such a request, so that it is beside every bad one.
-	Known bool `json:"known,omitempty"`
-	// Proof says that the node knew of an earlier crash with the request and
+	AnsweredBefore bool `json:"known,omitempty"`
+	// Conclusive says that the node knew of an earlier crash with the request and
 	// had no answer to it since.
-	Proof bool `json:"proof,omitempty"`
+	Conclusive bool `json:"proof,omitempty"`
 }
 
 func (c Crash) score() int {
 	switch {
-	case c.Proof:
+	case c.Conclusive:
 		return scoreToQuarantine
-	case c.Known:
+	case c.AnsweredBefore:
 		return 0
 	}
 	return 1
@@ -58,16 +58,16 @@
 type Entry struct {
 	Fingerprint Fingerprint
 	Kind        Kind
-	What        string   // method, host and path, for operators
+	RequestLine string   // method, host and path, for operators
 	Crashes     []Crash  // those that count, by ID
 	Lifted      []string // short forms of crashes that no longer count, sorted
 	Expires     time.Time
-	By          string // who lifted it: "answered", or an operator
+	LiftedBy    string // who lifted it: "answered", or an operator
 }
 
 func (e *Entry) expired(now time.Time) bool { return !now.Before(e.Expires) }
 
-func (e *Entry) liftedByOperator() bool { return e.Kind == KindLifted && e.By != byAnswer }
+func (e *Entry) liftedByOperator() bool { return e.Kind == KindLifted && e.LiftedBy != byAnswer }
 
 // isolated reports whether the request runs at one place at a time. One that
 // was answered before is not: the most asked for lookup of a service is beside
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -16,12 +16,12 @@
 	Leaving bool
 }
 
-// Crash reports whether the evidence is that of a crash.
+// IsCrash reports whether the evidence is that of a crash.
 //
 // A connection that breaks while new ones work is a reset: the network, an idle
 // timeout or the backend server dropping one request. Taking it for a crash
 // would make suspects of everything in flight each time a middlebox forgets a
 // connection.
-func (e Evidence) Crash() bool {
+func (e Evidence) IsCrash() bool {
 	return e.Broken && !e.Leaving && (e.ConnectRefused || e.Restarted)
 }
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -13,9 +13,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// HeadBytes is how much of a body the fingerprint covers. A body streams, so
+// FingerprintBodyBytes is how much of a body the fingerprint covers. A body streams, so
 // the fingerprint can only cover what is read before the request is sent on.
-const HeadBytes = 4096
+const FingerprintBodyBytes = 4096
 
 // Fingerprint stands for a request and its resends.
 type Fingerprint [16]byte
@@ -31,10 +31,10 @@
 // second is the seed that makes the upper half of a fingerprint.
 const second = 0x6d61726c70617373
 
-// Of returns the fingerprint of a request. length is that of the body, or -1
-// when not known; head is the body's beginning, of which at most HeadBytes
+// NewFingerprint returns the fingerprint of a request. length is that of the body, or -1
+// when not known; head is the body's beginning, of which at most FingerprintBodyBytes
 // count.
-func Of(method, host, path, query string, h http.Header, length int64, head []byte) Fingerprint {
+func NewFingerprint(method, host, path, query string, h http.Header, length int64, head []byte) Fingerprint {
 	var stack [512]byte
 	b := appendParts(stack[:0], method, nameOf(host), path, query)
 	for _, name := range coveredHeaders {
@@ -42,7 +42,7 @@
 		b = append(b, 0xff)
 	}
 	b = strconv.AppendInt(b, length, 10)
-	head = head[:min(len(head), HeadBytes)]
+	head = head[:min(len(head), FingerprintBodyBytes)]
 	var f Fingerprint
 	binary.BigEndian.PutUint64(f[:8], hash(0, b, head))
 	binary.BigEndian.PutUint64(f[8:], hash(second, b, head))
@@ -102,8 +102,8 @@
 // ErrFingerprint means that a text is no fingerprint.
 var ErrFingerprint = errors.New("not a fingerprint of 32 hexadecimal digits")
 
-// Parse reads what String wrote.
-func Parse(s string) (Fingerprint, error) {
+// ParseFingerprint reads what String wrote.
+func ParseFingerprint(s string) (Fingerprint, error) {
 	var f Fingerprint
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != len(f) {
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -7,7 +7,7 @@
 // Host. The second crash was taken for the first of a new request, and all
 // backend servers went down one after the other.
 func TestFingerprintIsThatOfTheRequestNotOfTheEntryNode(t *testing.T) {
-	of := func(host string) Fingerprint { return Of("GET", host, "/poison", "", nil, 0, nil) }
+	of := func(host string) Fingerprint { return NewFingerprint("GET", host, "/poison", "", nil, 0, nil) }
 	one := of("10.0.0.1:8080")
 	for _, host := range []string{"10.0.0.2:8080", "10.0.0.1:9090", "10.9.9.9", "[2001:db8::1]:8080", "[2001:db8::2]", ""} {
 		if of(host) != one {
--- a/internal/quarantine/hold.go
+++ b/internal/quarantine/hold.go
@@ -99,10 +99,10 @@
 // that broke at two endpoints is held back for a moment. A request that this
 // node had an answer to lately is passed over.
 func (l *List) Broke(now time.Time, fp Fingerprint, endpoint string) {
-	if l.answered.within(now, fp, l.opt.KnownFor) {
+	if l.answered.within(now, fp, l.opt.AnsweredWindow) {
 		return
 	}
-	l.held.note(now, fp, endpoint, l.opt.Hold)
+	l.held.note(now, fp, endpoint, l.opt.HoldFor)
 }
 
 // Answered notes at the entry node that a call was answered.
--- a/internal/quarantine/hold_test.go
+++ b/internal/quarantine/hold_test.go
@@ -14,10 +14,10 @@
 		t.Fatal("no hold")
 	}
 	l.Broke(start.Add(time.Second), request("y"), "vm1/b")
-	if l.held.active(start.Add(time.Second + DefaultHold)) {
+	if l.held.active(start.Add(time.Second + DefaultHoldFor)) {
 		t.Error("the holds are asked after the last has ended")
 	}
-	if !l.held.active(start.Add(DefaultHold)) || !l.Isolated(start.Add(DefaultHold), request("y")) {
+	if !l.held.active(start.Add(DefaultHoldFor)) || !l.Isolated(start.Add(DefaultHoldFor), request("y")) {
 		t.Error("the later hold is lost")
 	}
 }
--- a/internal/quarantine/inflight.go
+++ b/internal/quarantine/inflight.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// End is how a run at a backend server ended.
-type End uint8
+// RunResult is how a run at a backend server ended.
+type RunResult uint8
 
 const (
 	// Answered means that the backend server answered whole.
-	Answered End = iota + 1
+	Answered RunResult = iota + 1
 	// Broken means that the connection broke before the answer was whole.
 	Broken
 	// Dropped means that the request was not run, or was cancelled.
@@ -82,7 +82,7 @@
 
 // finish ends a run. A broken one is kept for the window, because the node
 // learns of the crash only after the connections broke.
-func (t *tracker) finish(now time.Time, tok Token, end End) {
+func (t *tracker) finish(now time.Time, tok Token, end RunResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if tok.suspect {
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -15,13 +15,13 @@
 
 // Defaults of Options.
 const (
-	DefaultSuspectFor    = 10 * time.Minute
-	DefaultQuarantineFor = 30 * time.Minute
-	DefaultCrashWindow   = 5 * time.Second
-	DefaultKnownFor      = 10 * time.Minute
-	DefaultHold          = 3 * time.Second
-	DefaultMaxEntries    = 1024
-	DefaultMaxNotices    = 32
+	DefaultSuspectFor     = 10 * time.Minute
+	DefaultQuarantineFor  = 30 * time.Minute
+	DefaultCrashWindow    = 5 * time.Second
+	DefaultAnsweredWindow = 10 * time.Minute
+	DefaultHoldFor        = 3 * time.Second
+	DefaultMaxEntries     = 1024
+	DefaultMaxNotices     = 32
 )
 
 // isolatedRetry is when a suspect may come back that found another one running.
@@ -36,11 +36,11 @@
 	// CrashWindow is how long after its connection broke a request counts as
 	// in flight at a crash.
 	CrashWindow time.Duration
-	// KnownFor is how long an answer speaks for a request.
-	KnownFor time.Duration
-	// Hold is how long the entry node goes by broken calls alone, until the
+	// AnsweredWindow is how long an answer speaks for a request.
+	AnsweredWindow time.Duration
+	// HoldFor is how long the entry node goes by broken calls alone, until the
 	// destination nodes have told whether backend servers crashed.
-	Hold       time.Duration
+	HoldFor    time.Duration
 	MaxEntries int
 	MaxNotices int
 }
@@ -49,8 +49,8 @@
 	o.SuspectFor = cmp.Or(o.SuspectFor, DefaultSuspectFor)
 	o.QuarantineFor = cmp.Or(o.QuarantineFor, DefaultQuarantineFor)
 	o.CrashWindow = cmp.Or(o.CrashWindow, DefaultCrashWindow)
-	o.KnownFor = cmp.Or(o.KnownFor, DefaultKnownFor)
-	o.Hold = cmp.Or(o.Hold, DefaultHold)
+	o.AnsweredWindow = cmp.Or(o.AnsweredWindow, DefaultAnsweredWindow)
+	o.HoldFor = cmp.Or(o.HoldFor, DefaultHoldFor)
 	o.MaxEntries = cmp.Or(o.MaxEntries, DefaultMaxEntries)
 	o.MaxNotices = cmp.Or(o.MaxNotices, DefaultMaxNotices)
 	return o
@@ -104,10 +104,10 @@
 	return Entry{}, false
 }
 
-// Refuse returns the refusal for a blocked request. One that is not quarantined
+// NewRefusal returns the refusal for a blocked request. One that is not quarantined
 // is held back for seconds, and its caller must be told to come back: a refusal
 // that reads as final would make it give up a harmless booking.
-func (e *Entry) Refuse(now time.Time) *call.Refusal {
+func (e *Entry) NewRefusal(now time.Time) *call.Refusal {
 	if e.Kind != KindQuarantined {
 		return &call.Refusal{
 			Reason:     call.ReasonHeldBack,
@@ -147,7 +147,7 @@
 func (l *List) Start(now time.Time, fp Fingerprint, endpoint string, what Request) (Token, error) {
 	e := l.lookup(now, fp)
 	if e != nil && e.Kind == KindQuarantined {
-		return Token{}, e.Refuse(now)
+		return Token{}, e.NewRefusal(now)
 	}
 	tok, ok := l.tracker(endpoint).start(now, fp, what, e != nil && e.isolated())
 	if !ok {
@@ -161,7 +161,7 @@
 }
 
 // Done notes how the run ended. An answer clears a suspect.
-func (l *List) Done(now time.Time, tok Token, end End) {
+func (l *List) Done(now time.Time, tok Token, end RunResult) {
 	if tok.t == nil {
 		return
 	}
@@ -227,8 +227,8 @@
 	out := make([]membership.Notice, 0, len(runs))
 	narrowed := l.narrowed(now, next, runs)
 	for _, r := range runs {
-		c := Crash{ID: id, Known: l.known(now, next[r.fp], r.fp)}
-		c.Proof = next.crashedBefore(now, r.fp) && !(c.Known && narrowed)
+		c := Crash{ID: id, AnsweredBefore: l.known(now, next[r.fp], r.fp)}
+		c.Conclusive = next.crashedBefore(now, r.fp) && !(c.AnsweredBefore && narrowed)
 		e := l.blame(now, next[r.fp], r, c)
 		next[r.fp] = e
 		l.claim(r.fp)
@@ -247,13 +247,13 @@
 // known reports whether the request was answered lately, here or at a node where
 // it was in flight at an earlier crash.
 func (l *List) known(now time.Time, e *Entry, fp Fingerprint) bool {
-	if l.answered.within(now, fp, l.opt.KnownFor) {
+	if l.answered.within(now, fp, l.opt.AnsweredWindow) {
 		return true
 	}
 	if e == nil || e.expired(now) {
 		return false
 	}
-	return slices.ContainsFunc(e.Crashes, func(c Crash) bool { return c.Known })
+	return slices.ContainsFunc(e.Crashes, func(c Crash) bool { return c.AnsweredBefore })
 }
 
 // narrowed reports whether a request that nobody ever answered was in flight at
@@ -275,8 +275,8 @@
 		e = old
 	}
 	e = e.with([]Crash{c}, nil)
-	e.What = r.what.String()
-	e.By = ""
+	e.RequestLine = r.what.String()
+	e.LiftedBy = ""
 	e.Expires = now.Add(l.lifetime(e.Kind))
 	return e
 }
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -17,7 +17,7 @@
 
 func request(body string) Fingerprint {
 	h := http.Header{"Content-Type": {"application/json"}}
-	return Of("POST", "berths", "/bookings", "", h, int64(len(body)), []byte(body))
+	return NewFingerprint("POST", "berths", "/bookings", "", h, int64(len(body)), []byte(body))
 }
 
 func newList(vm string) *List { return New(start, Options{Self: vm}) }
@@ -48,17 +48,17 @@
 	base := func() (string, string, string, string, http.Header, int64, []byte) {
 		return "POST", "h", "/p", "q=1", http.Header{"Content-Type": {"a"}}, 3, []byte("abc")
 	}
-	want := Of(base())
+	want := NewFingerprint(base())
 	m, h, p, q, hd, n, b := base()
 	differ := map[string]Fingerprint{
-		"method": Of("PUT", h, p, q, hd, n, b),
-		"host":   Of(m, "i", p, q, hd, n, b),
-		"path":   Of(m, h, "/q", q, hd, n, b),
-		"query":  Of(m, h, p, "q=2", hd, n, b),
-		"header": Of(m, h, p, q, http.Header{"Range": {"a"}}, n, b),
-		"length": Of(m, h, p, q, hd, 4, b),
-		"body":   Of(m, h, p, q, hd, n, []byte("abd")),
-		"border": Of(m, h, "/pq", "=1", hd, n, b),
+		"method": NewFingerprint("PUT", h, p, q, hd, n, b),
+		"host":   NewFingerprint(m, "i", p, q, hd, n, b),
+		"path":   NewFingerprint(m, h, "/q", q, hd, n, b),
+		"query":  NewFingerprint(m, h, p, "q=2", hd, n, b),
+		"header": NewFingerprint(m, h, p, q, http.Header{"Range": {"a"}}, n, b),
+		"length": NewFingerprint(m, h, p, q, hd, 4, b),
+		"body":   NewFingerprint(m, h, p, q, hd, n, []byte("abd")),
+		"border": NewFingerprint(m, h, "/pq", "=1", hd, n, b),
 	}
 	for name, fp := range differ {
 		if fp == want {
@@ -69,14 +69,14 @@
 	resend.Set("Idempotency-Key", "2")
 	resend.Set("Traceparent", "x")
 	resend.Set("Authorization", "another caller")
-	if Of(m, h, p, q, resend, n, b) != want {
+	if NewFingerprint(m, h, p, q, resend, n, b) != want {
 		t.Error("a resend has another fingerprint")
 	}
-	back, err := Parse(want.String())
+	back, err := ParseFingerprint(want.String())
 	if err != nil || back != want {
 		t.Errorf("parsed %v, %v", back, err)
 	}
-	if _, err := Parse("zz"); !errors.Is(err, ErrFingerprint) {
+	if _, err := ParseFingerprint("zz"); !errors.Is(err, ErrFingerprint) {
 		t.Errorf("got %v", err)
 	}
 }
@@ -94,7 +94,7 @@
 		{"restart with nothing in flight", Evidence{Restarted: true}, false},
 	}
 	for _, c := range cases {
-		if got := c.e.Crash(); got != c.want {
+		if got := c.e.IsCrash(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -114,7 +114,7 @@
 		t.Fatalf("alerts after the second crash: %v", ns)
 	}
 	e, blocked := l.Blocked(start, bad)
-	if !blocked || e.What != "POST /bookings" {
+	if !blocked || e.RequestLine != "POST /bookings" {
 		t.Fatalf("not blocked: %+v", e)
 	}
 	_, err := l.Start(start, bad, "b3", Request{})
@@ -258,10 +258,10 @@
 	}
 	l.Broke(start, fp, "b2")
 	e, blocked := l.Blocked(start, fp)
-	if !blocked || e.Refuse(start).RetryAfter != DefaultHold || e.Refuse(start).Reason != call.ReasonHeldBack {
+	if !blocked || e.NewRefusal(start).RetryAfter != DefaultHoldFor || e.NewRefusal(start).Reason != call.ReasonHeldBack {
 		t.Errorf("after two breaks: %v %+v", blocked, e)
 	}
-	if _, blocked := l.Blocked(start.Add(DefaultHold), fp); blocked {
+	if _, blocked := l.Blocked(start.Add(DefaultHoldFor), fp); blocked {
 		t.Error("held for good")
 	}
 	known := request("known")
--- a/internal/quarantine/mesh_test.go
+++ b/internal/quarantine/mesh_test.go
@@ -82,7 +82,7 @@
 func (m *mesh) send(entry int, fp Fingerprint, random int) bool {
 	at := m.choose(entry, fp, random)
 	var pinned []string
-	for range MaxPinned {
+	for range MaxPinnedRefusals {
 		if at < 0 || !m.pinnedElsewhere(at, fp) {
 			break
 		}
--- a/internal/quarantine/narrow_test.go
+++ b/internal/quarantine/narrow_test.go
@@ -10,8 +10,8 @@
 // both crashes, and was refused to everybody for half an hour along with the bad
 // request. The bad request, which nobody ever answered, accounts for both.
 func TestPopularLookupBesideTwoCrashesStaysFree(t *testing.T) {
-	bad := Of("GET", "", "/bad", "", nil, 0, nil)
-	popular := Of("GET", "", "/lookups/1", "", nil, 0, nil)
+	bad := NewFingerprint("GET", "", "/bad", "", nil, 0, nil)
+	popular := NewFingerprint("GET", "", "/lookups/1", "", nil, 0, nil)
 	for _, tt := range []struct {
 		name              string
 		answeredAt        int // node where the lookup was answered before
--- a/internal/quarantine/notice.go
+++ b/internal/quarantine/notice.go
@@ -10,7 +10,7 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// byAnswer is the By of an entry that an answer cleared.
+// byAnswer is the LiftedBy of an entry that an answer cleared.
 const byAnswer = "answered"
 
 // ErrNotListed means that an operator named a request that is not held.
@@ -111,7 +111,7 @@
 	if k != KindSuspect && k != KindQuarantined && k != KindLifted {
 		return nil
 	}
-	fp, err := Parse(n.ID)
+	fp, err := ParseFingerprint(n.ID)
 	if err != nil {
 		return nil
 	}
@@ -119,7 +119,7 @@
 	if json.Unmarshal([]byte(n.Detail), &d) != nil {
 		return nil
 	}
-	e := (&Entry{Fingerprint: fp, What: d.What, By: d.By}).with(d.Crashes, d.Lifted)
+	e := (&Entry{Fingerprint: fp, RequestLine: d.RequestLine, LiftedBy: d.LiftedBy}).with(d.Crashes, d.Lifted)
 	e.Expires = time.UnixMilli(n.Expires)
 	if last := now.Add(l.lifetime(e.Kind)); e.Expires.After(last) {
 		e.Expires = last
@@ -144,8 +144,8 @@
 	if told.Expires.After(e.Expires) {
 		e.Expires = told.Expires
 	}
-	if e.Kind == KindLifted && told.By != "" {
-		e.By = told.By
+	if e.Kind == KindLifted && told.LiftedBy != "" {
+		e.LiftedBy = told.LiftedBy
 	}
 	return e
 }
@@ -175,7 +175,7 @@
 		return
 	}
 	lifted := e.with(nil, e.lifts())
-	lifted.By = by
+	lifted.LiftedBy = by
 	lifted.Expires = now.Add(l.lifetime(KindLifted))
 	next[fp] = lifted
 	l.claim(fp)
--- a/internal/quarantine/notice_test.go
+++ b/internal/quarantine/notice_test.go
@@ -28,7 +28,7 @@
 			if last := start.Add(l.lifetime(e.Kind)); e.Expires.After(last) {
 				t.Errorf("expires %s, after %s", e.Expires, last)
 			}
-			if fp, err := Parse(e.Fingerprint.String()); err != nil || fp != e.Fingerprint {
+			if fp, err := ParseFingerprint(e.Fingerprint.String()); err != nil || fp != e.Fingerprint {
 				t.Errorf("%v became %v, %v", e.Fingerprint, fp, err)
 			}
 		}
--- a/internal/quarantine/pin.go
+++ b/internal/quarantine/pin.go
@@ -6,12 +6,12 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// MaxPinned is how often a call is refused as pinned to another endpoint before
+// MaxPinnedRefusals is how often a call is refused as pinned to another endpoint before
 // the next endpoint runs it all the same.
 //
 // It guards against locking out a harmless suspect. Nodes may see other
 // endpoints as open, and then each sends the suspect on to the next one.
-const MaxPinned = 2
+const MaxPinnedRefusals = 2
 
 // Pinned is asked at the destination node, before Start. It returns a refusal if
 // a crash made the request a suspect and another endpoint is chosen for it.
--- a/internal/route/doc.go
+++ b/internal/route/doc.go
@@ -12,7 +12,7 @@
 // What an endpoint says of its own load counts for less the older it is.
 //
 // A call that looks for a free slot, rather than for one to wait for, is sent to the
-// endpoint on its own VM or to one whose last answer told of a free slot (Look).
+// endpoint on its own VM or to one whose last answer told of a free slot (PickFreeSlot).
 //
 // Endpoints whose calls fail are ejected, never more than a set share of the
 // service, and return by single real calls. docs/design/picking.md gives the
--- a/internal/route/done.go
+++ b/internal/route/done.go
@@ -76,7 +76,7 @@
 	default:
 		return verdictNone
 	}
-	if r.Left {
+	if r.Cancelled {
 		return verdictNone
 	}
 	if r.Failed || r.Outcome == call.Unknown {
--- a/internal/route/eject.go
+++ b/internal/route/eject.go
@@ -37,7 +37,7 @@
 	s.ejected.Store(true)
 	s.trialsOK.Store(0)
 	p.tellEjected(s, now)
-	p.scheduleTrial(s, now, p.opt.EjectFor.Milliseconds())
+	p.scheduleTrial(s, now, p.opt.BaseEjectionTime.Milliseconds())
 	p.rebuild()
 }
 
@@ -54,7 +54,7 @@
 // scheduleTrial sets the next trial to between half and the whole of interval,
 // so that nodes which ejected together don't come back together.
 func (p *Picker) scheduleTrial(s *state, now, interval int64) {
-	interval = min(interval, p.opt.EjectMax.Milliseconds())
+	interval = min(interval, p.opt.MaxEjectionTime.Milliseconds())
 	s.interval.Store(interval)
 	s.nextTrial.Store(now + interval/2 + int64(p.randomFloat()*float64(interval/2)))
 }
--- a/internal/route/endpoint.go
+++ b/internal/route/endpoint.go
@@ -40,8 +40,8 @@
 	Outcome call.Outcome
 	// Failed says that the answer was a server error or was broken off.
 	Failed bool
-	// Left says that the caller left before there was an answer.
-	Left bool
+	// Cancelled says that the caller left before there was an answer.
+	Cancelled bool
 	// Refused is the reason of a refusal, empty when there was none.
 	Refused call.Reason
 	Latency time.Duration
@@ -58,5 +58,5 @@
 	NextTrial    time.Time // when an ejected endpoint gets its next call
 	SlowStarting bool
 	Outstanding  int
-	Failures     float64 // recent share of failed calls, 0 to 1
+	FailureRate  float64 // recent share of failed calls, 0 to 1
 }
--- a/internal/route/look.go
+++ b/internal/route/look.go
@@ -61,11 +61,11 @@
 	}
 }
 
-// Look picks an endpoint that is likely to have a free slot, for a call that is refused
+// PickFreeSlot picks an endpoint that is likely to have a free slot, for a call that is refused
 // where it would have to wait: one of the own data centre, or of the region's others. The
 // one on this VM comes first, since it is asked without a way. The error is a
 // *call.Refusal when all that take calls are in tried.
-func (p *Picker) Look(now time.Time, near bool, tried []string) (Choice, error) {
+func (p *Picker) PickFreeSlot(now time.Time, near bool, tried []string) (Choice, error) {
 	ms := p.millis(now)
 	t := p.table.Load()
 	if len(tried) == 0 {
--- a/internal/route/look_test.go
+++ b/internal/route/look_test.go
@@ -11,7 +11,7 @@
 // twoCentres is a picker of vm-0, which holds an endpoint as the other VMs do: 0 to 3 are
 // in its own data centre, 4 to 7 in another.
 func twoCentres(now time.Time) *Picker {
-	p := New(Options{Self: "vm-0", DataCentre: "dc-0", Region: "r", Weighed: true, Seed: 3})
+	p := New(Options{Self: "vm-0", DataCentre: "dc-0", Region: "r", RegionWide: true, Seed: 3})
 	var eps []Endpoint
 	for i := range 8 {
 		eps = append(eps, Endpoint{
@@ -35,7 +35,7 @@
 func TestNextCallTakesTheSlotThatIsKnownFree(t *testing.T) {
 	now := time.Unix(1000, 0)
 	look := func(p *Picker, now time.Time, near bool, tried ...string) string {
-		c, err := p.Look(now, near, tried)
+		c, err := p.PickFreeSlot(now, near, tried)
 		if err != nil {
 			return ""
 		}
@@ -79,7 +79,7 @@
 	p := twoCentres(now)
 	var tried []string
 	for range 4 {
-		c, err := p.Look(now, true, tried)
+		c, err := p.PickFreeSlot(now, true, tried)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -88,7 +88,7 @@
 		}
 		tried = append(tried, c.Endpoint().ID)
 	}
-	if c, err := p.Look(now, true, tried); err == nil {
+	if c, err := p.PickFreeSlot(now, true, tried); err == nil {
 		t.Errorf("looks at %s again", c.Endpoint().ID)
 	}
 }
--- a/internal/route/options.go
+++ b/internal/route/options.go
@@ -8,12 +8,12 @@
 	DefaultMinSubset   = 2
 	// DefaultSlowStart is about how long a backend server is cold. Held back for longer, its
 	// slots stay empty while calls wait at others: in a rolling restart at most of them.
-	DefaultSlowStart  = 5 * time.Second
-	DefaultLoadAge    = 50 * time.Millisecond
-	DefaultForget     = 10 * time.Second
-	DefaultMaxEjected = 0.5
-	DefaultEjectFor   = 5 * time.Second
-	DefaultEjectMax   = time.Minute
+	DefaultSlowStart           = 5 * time.Second
+	DefaultLoadHalfLife        = 50 * time.Millisecond
+	DefaultObservationHalfLife = 10 * time.Second
+	DefaultMaxEjected          = 0.5
+	DefaultBaseEjectionTime    = 5 * time.Second
+	DefaultMaxEjectionTime     = time.Minute
 )
 
 // Options sets up a Picker. Zero fields take the defaults above.
@@ -34,23 +34,23 @@
 	// SlowStart is how long an endpoint takes to get its full part of the
 	// calls after a cold start or an ejection.
 	SlowStart time.Duration
-	// LoadAge is the age at which reported load counts half.
-	LoadAge time.Duration
-	// Forget is the time in which observed failures and latency fade to a
+	// LoadHalfLife is the age at which reported load counts half.
+	LoadHalfLife time.Duration
+	// ObservationHalfLife is the time in which observed failures and latency fade to a
 	// half when no new ones come.
-	Forget time.Duration
-	// Weighed makes the Picker weigh the endpoints of all data centres of the
-	// region against each other, by what Ask says of the way, rather than take
+	ObservationHalfLife time.Duration
+	// RegionWide makes the Picker weigh the endpoints of all data centres of the
+	// region against each other, by what PickInfo says of the way, rather than take
 	// the near ones first. It is for meshes whose data centres are close and
 	// have few endpoints each.
-	Weighed bool
+	RegionWide bool
 	// MaxEjected is the largest share of the service's endpoints that may be
 	// ejected at once.
 	MaxEjected float64
-	// EjectFor is how long the first ejection lasts; each failed trial
-	// doubles it up to EjectMax.
-	EjectFor time.Duration
-	EjectMax time.Duration
+	// BaseEjectionTime is how long the first ejection lasts; each failed trial
+	// doubles it up to MaxEjectionTime.
+	BaseEjectionTime time.Duration
+	MaxEjectionTime  time.Duration
 	// OnEject, if set, is told of each endpoint that is ejected, or back. It is
 	// called under a lock of the Picker and must not block.
 	OnEject func(endpoint string, ejected bool, failing float64)
@@ -60,11 +60,11 @@
 	setDefault(&o.Connections, DefaultConnections)
 	setDefault(&o.MinSubset, DefaultMinSubset)
 	setDefault(&o.SlowStart, DefaultSlowStart)
-	setDefault(&o.LoadAge, DefaultLoadAge)
-	setDefault(&o.Forget, DefaultForget)
+	setDefault(&o.LoadHalfLife, DefaultLoadHalfLife)
+	setDefault(&o.ObservationHalfLife, DefaultObservationHalfLife)
 	setDefault(&o.MaxEjected, DefaultMaxEjected)
-	setDefault(&o.EjectFor, DefaultEjectFor)
-	setDefault(&o.EjectMax, DefaultEjectMax)
+	setDefault(&o.BaseEjectionTime, DefaultBaseEjectionTime)
+	setDefault(&o.MaxEjectionTime, DefaultMaxEjectionTime)
 	return o
 }
 
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -28,9 +28,9 @@
 	return p.pick(p.millis(now), tried, overdueFactor)
 }
 
-// PickRepeatable is Pick for a call that may be sent again whatever happens to
+// PickIdempotent is Pick for a call that may be sent again whatever happens to
 // it, which makes it the better trial for an ejected endpoint.
-func (p *Picker) PickRepeatable(now time.Time, tried []string) (Choice, error) {
+func (p *Picker) PickIdempotent(now time.Time, tried []string) (Choice, error) {
 	return p.pick(p.millis(now), tried, 1)
 }
 
@@ -213,11 +213,11 @@
 	return nil
 }
 
-// PickFixed picks by key alone, so that nodes with the same view pick the same
+// PickByKey picks by key alone, so that nodes with the same view pick the same
 // endpoint. It is for requests that must run at one place at a time. Endpoints in
 // avoid are taken only if no other is open. They must be the same at all nodes,
 // so what this call tried before doesn't belong there.
-func (p *Picker) PickFixed(now time.Time, key uint64, avoid []string) (Choice, error) {
+func (p *Picker) PickByKey(now time.Time, key uint64, avoid []string) (Choice, error) {
 	s := p.fixed(now, key, avoid)
 	if s == nil {
 		return Choice{}, noEndpoint()
@@ -232,9 +232,9 @@
 	return !slices.ContainsFunc(p.table.Load().all, func(s *state) bool { return usable(s, ms, tried) })
 }
 
-// Fixed returns the ID of the endpoint that PickFixed picks, or "" if there is
+// EndpointByKey returns the ID of the endpoint that PickByKey picks, or "" if there is
 // none. No call is counted for it.
-func (p *Picker) Fixed(now time.Time, key uint64, avoid []string) string {
+func (p *Picker) EndpointByKey(now time.Time, key uint64, avoid []string) string {
 	if s := p.fixed(now, key, avoid); s != nil {
 		return s.ep.Load().ID
 	}
--- a/internal/route/picker.go
+++ b/internal/route/picker.go
@@ -61,8 +61,8 @@
 	p := &Picker{
 		opt:       o,
 		slowStart: o.SlowStart.Milliseconds(),
-		loadAge:   max(1, o.LoadAge.Milliseconds()),
-		forget:    max(1, o.Forget.Milliseconds()),
+		loadAge:   max(1, o.LoadHalfLife.Milliseconds()),
+		forget:    max(1, o.ObservationHalfLife.Milliseconds()),
 		states:    map[string]*state{},
 	}
 	p.seed.Store(o.Seed)
--- a/internal/route/picker_test.go
+++ b/internal/route/picker_test.go
@@ -105,7 +105,7 @@
 	p := picker(Options{}, endpoints(2))
 	picks(t, p, simStart, 100, func(string) Report { return refused(call.ReasonQuarantined) })
 	for _, s := range p.Endpoints(simStart) {
-		if s.Ejected || s.Failures != 0 || s.Outstanding != 0 {
+		if s.Ejected || s.FailureRate != 0 || s.Outstanding != 0 {
 			t.Errorf("%+v", s)
 		}
 	}
@@ -131,12 +131,12 @@
 	if got := picks(t, p, now, 200, report); got[bad] != 0 {
 		t.Fatalf("ejected, and got %d calls", got[bad])
 	}
-	now = now.Add(DefaultEjectFor)
-	c, err := p.PickRepeatable(now, nil)
+	now = now.Add(DefaultBaseEjectionTime)
+	c, err := p.PickIdempotent(now, nil)
 	if err != nil || !c.Trial() || c.Endpoint().ID != bad {
 		t.Fatalf("no trial after the ejection: %v %v", c.Endpoint(), err)
 	}
-	if other, _ := p.PickRepeatable(now, nil); other.Trial() {
+	if other, _ := p.PickIdempotent(now, nil); other.Trial() {
 		t.Error("two trials at once")
 	}
 	c.Done(now, failed)
@@ -146,7 +146,7 @@
 	now = now.Add(time.Minute)
 	for range trialsToReturn {
 		now = now.Add(trialGap)
-		c, _ := p.PickRepeatable(now, nil)
+		c, _ := p.PickIdempotent(now, nil)
 		if !c.Trial() {
 			t.Fatal("no trial")
 		}
@@ -185,11 +185,11 @@
 		c, _ := p.Pick(simStart, []string{"e0"})
 		c.Done(simStart, failed)
 	}
-	now := simStart.Add(DefaultEjectFor)
+	now := simStart.Add(DefaultBaseEjectionTime)
 	if c, _ := p.Pick(now, nil); c.Trial() {
 		t.Error("a call that may not be repeated was the trial")
 	}
-	now = simStart.Add(overdueFactor * DefaultEjectFor)
+	now = simStart.Add(overdueFactor * DefaultBaseEjectionTime)
 	if c, _ := p.Pick(now, nil); !c.Trial() {
 		t.Error("an overdue trial was not made")
 	}
--- a/internal/route/ranking_test.go
+++ b/internal/route/ranking_test.go
@@ -8,20 +8,20 @@
 func TestPickFixed(t *testing.T) {
 	p, q := picker(Options{}, endpoints(9)), picker(Options{Seed: 5}, endpoints(9))
 	for key := range uint64(50) {
-		a, err := p.PickFixed(simStart, key, nil)
-		b, _ := q.PickFixed(simStart, key, nil)
-		if id := q.Fixed(simStart, key, nil); id != b.Endpoint().ID {
+		a, err := p.PickByKey(simStart, key, nil)
+		b, _ := q.PickByKey(simStart, key, nil)
+		if id := q.EndpointByKey(simStart, key, nil); id != b.Endpoint().ID {
 			t.Fatalf("picks %s, says %s", b.Endpoint().ID, id)
 		}
 		if err != nil || a.Endpoint().ID != b.Endpoint().ID {
 			t.Fatalf("key %d: %v and %v", key, a.Endpoint(), b.Endpoint())
 		}
-		c, err := p.PickFixed(simStart, key, []string{a.Endpoint().ID})
+		c, err := p.PickByKey(simStart, key, []string{a.Endpoint().ID})
 		if err != nil || c.Endpoint().ID == a.Endpoint().ID {
 			t.Fatalf("key %d: %v is not avoided, %v", key, a.Endpoint(), err)
 		}
 	}
-	if c, err := picker(Options{}, endpoints(1)).PickFixed(simStart, 1, []string{"e0"}); err != nil {
+	if c, err := picker(Options{}, endpoints(1)).PickByKey(simStart, 1, []string{"e0"}); err != nil {
 		t.Errorf("with one endpoint: %v %v", c, err)
 	}
 }
@@ -62,7 +62,7 @@
 		c, _ := p.Pick(now, []string{"e0"})
 		c.Done(now, failed)
 		for _, later := range []time.Duration{-time.Millisecond, 0, time.Second} {
-			if f := p.Endpoints(now.Add(later))[1].Failures; f < 0.5 {
+			if f := p.Endpoints(now.Add(later))[1].FailureRate; f < 0.5 {
 				t.Errorf("day %d: failures %.2f, %v later", day, f, later)
 			}
 		}
--- a/internal/route/subset.go
+++ b/internal/route/subset.go
@@ -26,7 +26,7 @@
 // is used by n*k/e nodes. MinSubset goes before the bound on connections: a
 // node with one endpoint has no choice when that endpoint is slow.
 func (p *Picker) subsetSize(t tier, have int) int {
-	if t == tierRegion && p.opt.Weighed {
+	if t == tierRegion && p.opt.RegionWide {
 		return min(have, p.opt.Connections)
 	}
 	if t != tierOwn {
--- a/internal/route/update.go
+++ b/internal/route/update.go
@@ -177,7 +177,7 @@
 		Ejected:      s.ejected.Load(),
 		SlowStarting: s.ramp(ms, p.slowStart) < 1,
 		Outstanding:  int(s.outstanding.Load()),
-		Failures:     s.failing(ms, p.forget),
+		FailureRate:  s.failing(ms, p.forget),
 	}
 	if st.Ejected {
 		st.NextTrial = p.moment(s.nextTrial.Load())
--- a/internal/route/weigh.go
+++ b/internal/route/weigh.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Ask says what a pick is for.
-type Ask struct {
+// PickInfo says what a pick is for.
+type PickInfo struct {
 	// Tried are the endpoints that have had the call already.
 	Tried []string
-	// Repeatable says that the call may be sent again whatever happens to it.
-	Repeatable bool
-	// Far is what an endpoint in another data centre costs more, in the measure
+	// Idempotent says that the call may be sent again whatever happens to it.
+	Idempotent bool
+	// RemoteCost is what an endpoint in another data centre costs more, in the measure
 	// of the cost: 1 is as much as all of its slots taken. It only counts where
-	// Options.Weighed is set.
-	Far float64
+	// Options.RegionWide is set.
+	RemoteCost float64
 }
 
-// nearPart is the part of Ask.Far that an endpoint on another VM of the own data
+// nearPart is the part of PickInfo.RemoteCost that an endpoint on another VM of the own data
 // centre costs more: its answer crosses two links, though no data centre's border.
 const nearPart = 0.25
 
-// largeFar is the Ask.Far from which an answer counts as large, so that the wait
+// largeFar is the PickInfo.RemoteCost from which an answer counts as large, so that the wait
 // for the endpoint's link counts too.
 const largeFar = 0.4
 
@@ -37,10 +37,10 @@
 }
 
 // PickFor picks an endpoint for what a says. See Pick.
-func (p *Picker) PickFor(now time.Time, a Ask) (Choice, error) {
-	if !p.opt.Weighed {
-		if a.Repeatable {
-			return p.PickRepeatable(now, a.Tried)
+func (p *Picker) PickFor(now time.Time, a PickInfo) (Choice, error) {
+	if !p.opt.RegionWide {
+		if a.Idempotent {
+			return p.PickIdempotent(now, a.Tried)
 		}
 		return p.Pick(now, a.Tried)
 	}
@@ -48,7 +48,7 @@
 	t := p.table.Load()
 	if len(a.Tried) == 0 {
 		overdue := int64(overdueFactor)
-		if a.Repeatable {
+		if a.Idempotent {
 			overdue = 1
 		}
 		if s := t.dueTrial(ms, overdue); s != nil {
@@ -67,14 +67,14 @@
 // weigh compares the best of two endpoints of the own data centre to the best of
 // two of the region's others. Where the way counts, the endpoint on the own VM is
 // compared as well.
-func (p *Picker) weigh(t *table, now int64, a Ask) *state {
+func (p *Picker) weigh(t *table, now int64, a PickInfo) *state {
 	var best *state
 	var bestCost float64
 	take := func(s *state, cost float64) {
 		if s == nil {
 			return
 		}
-		if a.Far > largeFar && s.ep.Load().VM != p.opt.Self {
+		if a.RemoteCost > largeFar && s.ep.Load().VM != p.opt.Self {
 			cost += p.linkCost(s, now)
 		}
 		if best == nil || cost < bestCost {
@@ -82,10 +82,10 @@
 		}
 	}
 	near, cost := p.bestOfTwo(t.near[tierOwn], now, a.Tried)
-	take(near, cost+nearPart*a.Far)
+	take(near, cost+nearPart*a.RemoteCost)
 	region, cost := p.bestOfTwo(t.near[tierRegion], now, a.Tried)
-	take(region, cost+a.Far)
-	if a.Far > 0 {
+	take(region, cost+a.RemoteCost)
+	if a.RemoteCost > 0 {
 		for _, s := range t.own {
 			if usable(s, now, a.Tried) {
 				take(s, p.cost(s, now))
--- a/internal/route/weigh_test.go
+++ b/internal/route/weigh_test.go
@@ -14,7 +14,7 @@
 // busy, since their way costs nothing.
 func TestLargeAnswersStayNear(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := New(Options{Self: "vm-0", DataCentre: "dc-0", Region: "r", Weighed: true, Seed: 7})
+	p := New(Options{Self: "vm-0", DataCentre: "dc-0", Region: "r", RegionWide: true, Seed: 7})
 	var eps []Endpoint
 	for i := range 4 {
 		eps = append(eps, Endpoint{
@@ -27,14 +27,14 @@
 		n := 0
 		var held0 []Choice
 		for range held {
-			c, err := p.PickFor(now, Ask{Far: 10})
+			c, err := p.PickFor(now, PickInfo{RemoteCost: 10})
 			if err != nil {
 				t.Fatal(err)
 			}
 			held0 = append(held0, c)
 		}
 		for range 100 {
-			c, err := p.PickFor(now, Ask{Far: far})
+			c, err := p.PickFor(now, PickInfo{RemoteCost: far})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -64,11 +64,11 @@
 // as well.
 func TestCallersWhoLeaveEjectNobody(t *testing.T) {
 	p := picker(Options{}, endpoints(4))
-	left := Report{Outcome: call.Unknown, Left: true}
+	left := Report{Outcome: call.Unknown, Cancelled: true}
 	picks(t, p, simStart, 200, func(string) Report { return left })
 	for _, e := range p.Endpoints(simStart) {
-		if e.Ejected || e.Failures > 0 {
-			t.Errorf("%s: ejected %v, failing %v", e.Endpoint.ID, e.Ejected, e.Failures)
+		if e.Ejected || e.FailureRate > 0 {
+			t.Errorf("%s: ejected %v, failing %v", e.Endpoint.ID, e.Ejected, e.FailureRate)
 		}
 	}
 	lost := Report{Outcome: call.Unknown, Failed: true}
