--- a/internal/distribute/advance.go
+++ b/internal/distribute/advance.go
@@ -101,7 +101,7 @@
 		}
 	}
 	if len(s.discredited) < s.set.MaxPeers {
-		s.discredited[peer] = s.now.Add(s.set.Discredit)
+		s.discredited[peer] = s.now.Add(s.set.BanTime)
 	}
 }
 
--- a/internal/distribute/confirm.go
+++ b/internal/distribute/confirm.go
@@ -15,7 +15,7 @@
 	readTime = 800 * time.Millisecond
 	// confirmWithin is how old a node that reads for itself alone lets its confirmation become.
 	confirmWithin = inForceIn - readTime
-	// tellTime is kept for telling the others, beside Profile.TellDelay for each of tellSteps from
+	// tellTime is kept for telling the others, beside Profile.PushDelay for each of tellSteps from
 	// the node that reads through the first of a data centre to the last.
 	tellTime  = 500 * time.Millisecond
 	tellSteps = 3
@@ -48,12 +48,12 @@
 	if c.Reader == "" {
 		return nil
 	}
-	return &peerpb.Confirmation{AgeMs: WholeMilliseconds(now.Sub(c.At)), Reader: c.Reader}
+	return &peerpb.Confirmation{AgeMs: CeilMilliseconds(now.Sub(c.At)), Reader: c.Reader}
 }
 
-// WholeMilliseconds returns an age for a message, rounded up: rounded down, each node that passes
+// CeilMilliseconds returns an age for a message, rounded up: rounded down, each node that passes
 // it on would make it younger.
-func WholeMilliseconds(age time.Duration) uint64 {
+func CeilMilliseconds(age time.Duration) uint64 {
 	return uint64((max(age, 0) + time.Millisecond - 1).Milliseconds())
 }
 
@@ -65,10 +65,10 @@
 	}
 }
 
-// Contact takes what any message of a peer tells: that it is heard, and how old the newest answer
+// RecordMessage takes what any message of a peer tells: that it is heard, and how old the newest answer
 // of the platform is behind its version. That a version held was the newest at some time confirms
 // a later one as well.
-func (s *State) Contact(now time.Time, e Heard) {
+func (s *State) RecordMessage(now time.Time, e VersionReceived) {
 	s.heardAt = now
 	if e.Confirmed.Reader != "" && s.chain.relation(e.Version) == relationHeld {
 		s.noteConfirmed(e.Confirmed.At, e.Confirmed.Reader)
@@ -115,7 +115,7 @@
 	if s.confirmed.Reader == s.set.Self && s.hearsNobody() {
 		return s.readsAloneEvery()
 	}
-	last := confirmWithin - tellTime - tellSteps*s.set.Profile.TellDelay
+	last := confirmWithin - tellTime - tellSteps*s.set.Profile.PushDelay
 	return last - standInSpread*time.Duration(f.among-f.rank)/time.Duration(max(f.among, 1))
 }
 
@@ -123,7 +123,7 @@
 // to. All others of its data centre may be in the same place, and together they read as often as its
 // feeders do, or as seldom as the bound allows.
 func (s *State) readsAloneEvery() time.Duration {
-	shared := s.set.Profile.HeadEvery * time.Duration(s.feed.among) / feedersPerDC
+	shared := s.set.Profile.HeadInterval * time.Duration(s.feed.among) / feedersPerDC
 	return min(shared, confirmWithin)
 }
 
@@ -139,7 +139,7 @@
 		return
 	}
 	f.reported = true
-	s.emit(StandIn{&NotConfirmed{Held: s.Version(), Age: s.now.Sub(s.confirmedSince()), Reader: s.confirmed.Reader}})
+	s.emit(FallbackRead{&ConfirmationOverdue{Held: s.Version(), Age: s.now.Sub(s.confirmedSince()), Reader: s.confirmed.Reader}})
 }
 
 // alone reports whether this node hears none of the others that its membership lists. What a feeder
--- a/internal/distribute/confirm_test.go
+++ b/internal/distribute/confirm_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-func timeProfile(id, dc string) Settings { return Defaults(id, dc, Time()) }
+func timeProfile(id, dc string) Settings { return Defaults(id, dc, TimeProfile()) }
 
-func bytesProfile(id, dc string) Settings { return Defaults(id, dc, Bytes()) }
+func bytesProfile(id, dc string) Settings { return Defaults(id, dc, BytesProfile()) }
 
 // isolate cuts every node off from every other, and has each suspect all others.
 func (m *mesh) isolate() {
@@ -191,20 +191,20 @@
 	now := time.Unix(1_700_000_000, 0)
 	for _, c := range []struct {
 		name string
-		e    Heard
+		e    VersionReceived
 		want bool
 	}{
-		{"the version held", Heard{Version: ds[1].To}, true},
-		{"an older one of its history", Heard{Version: ds[0].To}, true},
-		{"a newer one", Heard{Version: ds[2].To}, false},
-		{"one of another history", Heard{Version: other[1].To}, false},
+		{"the version held", VersionReceived{Version: ds[1].To}, true},
+		{"an older one of its history", VersionReceived{Version: ds[0].To}, true},
+		{"a newer one", VersionReceived{Version: ds[2].To}, false},
+		{"one of another history", VersionReceived{Version: other[1].To}, false},
 	} {
 		s := New(timeProfile("self", "dc"), now)
 		if !s.applyDeltas(SourcePlatform, ds[:2]) {
 			t.Fatal("the history can't be applied")
 		}
 		c.e.Peer, c.e.Confirmed = "p", Confirmation{At: now.Add(4 * time.Second), Reader: "q"}
-		s.Contact(now.Add(5*time.Second), c.e)
+		s.RecordMessage(now.Add(5*time.Second), c.e)
 		if got := s.confirmed.Reader == "q"; got != c.want {
 			t.Errorf("%s: confirmed %t", c.name, got)
 		}
--- a/internal/distribute/cutoff_test.go
+++ b/internal/distribute/cutoff_test.go
@@ -12,12 +12,12 @@
 // What an operator would see: a change is accepted, and one VM, which reaches the platform,
 // goes on with the version before for minutes. It is cut off from all others, so nobody tells
 // it. Once it suspects its neighbours it is one of many that might stand in for the feeders
-// of its data centre, and all of these together read the platform about once in HeadEvery.
+// of its data centre, and all of these together read the platform about once in HeadInterval.
 func TestNodeCutOffFromAllReadsThePlatform(t *testing.T) {
 	const nodes, dcs = 48, 1
 	late := 0
 	for seed := range uint64(5) {
-		m := newMesh(nodes, dcs, seed, func(id, dc string) Settings { return Defaults(id, dc, Time()) })
+		m := newMesh(nodes, dcs, seed, func(id, dc string) Settings { return Defaults(id, dc, TimeProfile()) })
 		m.change(nil)
 		m.run(20 * time.Second)
 		n := m.someNonFeeder()
--- a/internal/distribute/descent_test.go
+++ b/internal/distribute/descent_test.go
@@ -17,8 +17,8 @@
 	ds, _ := history(t, "booking", 2)
 	theirs, snap := history(t, "other", 300)
 	b.do(heardTell("p", ds))
-	b.do(Heard{Peer: "f1", Version: theirs[299].To, Tell: true})
-	b.do(Heard{Peer: "f2", Version: theirs[299].To, Tell: true})
+	b.do(VersionReceived{Peer: "f1", Version: theirs[299].To, Pushed: true})
+	b.do(VersionReceived{Peer: "f2", Version: theirs[299].To, Pushed: true})
 	puller := b.s.pull.peer
 	b.do(Pulled{Peer: puller, Answer: Answer{Version: snap.Version(), Snapshot: snap}})
 	b.holds(2)
@@ -36,7 +36,7 @@
 	b := newBench(t, "fresh", "p")
 	ds, snap := history(t, "booking", 300)
 	b.do(heardTell("p", ds[:2]))
-	b.do(Heard{Peer: "fresh", Version: snap.Version(), Tell: true})
+	b.do(VersionReceived{Peer: "fresh", Version: snap.Version(), Pushed: true})
 	b.do(Pulled{Peer: "fresh", Answer: Answer{Version: snap.Version(), Snapshot: snap}})
 	b.holds(2)
 	return b, ds, snap
@@ -109,7 +109,7 @@
 func TestNodeCutOffForLongComesForward(t *testing.T) {
 	for _, down := range []bool{true, false} {
 		t.Run(fmt.Sprint("platform down ", down), func(t *testing.T) {
-			m := newMesh(9, 3, 5, func(id, dc string) Settings { return Defaults(id, dc, Time()) })
+			m := newMesh(9, 3, 5, func(id, dc string) Settings { return Defaults(id, dc, TimeProfile()) })
 			for range 3 {
 				m.change(nil)
 			}
--- a/internal/distribute/event.go
+++ b/internal/distribute/event.go
@@ -12,8 +12,8 @@
 // Platform returns it from Since; the state machine then reads a snapshot.
 var ErrCompacted = errors.New("distribute: the deltas were compacted away")
 
-// ErrStranded ends a Runner whose node is to be started again; see State.Stranded.
-var ErrStranded = errors.New("distribute: neither the peers nor the platform have the history held here")
+// ErrOrphaned ends a Runner whose node is to be started again; see State.Orphaned.
+var ErrOrphaned = errors.New("distribute: neither the peers nor the platform have the history held here")
 
 // ErrBadAnswer marks an answer that could not be decoded or verified.
 var ErrBadAnswer = errors.New("distribute: the answer could not be verified")
@@ -28,8 +28,8 @@
 // Event is one input of the state machine.
 type Event interface{ event() }
 
-// Ticked lets time pass. It is due several times a second.
-type Ticked struct{}
+// Tick lets time pass. It is due several times a second.
+type Tick struct{}
 
 // HeadRead is the outcome of ReadHead.
 type HeadRead struct {
@@ -44,22 +44,22 @@
 	Err      error
 }
 
-// Heard tells of the version that any message of a peer carried. Deltas is set
+// VersionReceived tells of the version that any message of a peer carried. Deltas is set
 // when the message was a tell that carried them.
-type Heard struct {
+type VersionReceived struct {
 	Peer    string
 	Version config.Version
 	// InForce is the number of the version in force at the peer.
 	InForce uint64
-	// Tell is set when the message was sent to tell the version, rather than
+	// Pushed is set when the message was sent to tell the version, rather than
 	// for membership.
-	Tell   bool
+	Pushed bool
 	Deltas []*config.Delta
 	// Confirmed is how far the platform bears Version out as the newest.
 	Confirmed Confirmation
 }
 
-// Answer is a peer's answer to Pull or Ask.
+// Answer is a peer's answer to Pull or Query.
 type Answer struct {
 	Version      config.Version
 	Deltas       []*config.Delta
@@ -78,15 +78,15 @@
 	Err    error
 }
 
-// Asked is the outcome of Ask.
-type Asked struct {
+// Queried is the outcome of Query.
+type Queried struct {
 	Peer   string
 	Answer Answer
 	Err    error
 }
 
-// Told is the outcome of Tell to one peer.
-type Told struct {
+// PushDone is the outcome of Push to one peer.
+type PushDone struct {
 	Peer    string
 	Version config.Version
 	Err     error
@@ -101,15 +101,15 @@
 	Err     error
 }
 
-func (Ticked) event()       {}
-func (HeadRead) event()     {}
-func (PlatformRead) event() {}
-func (Heard) event()        {}
-func (Pulled) event()       {}
-func (Asked) event()        {}
-func (Told) event()         {}
-func (Accepted) event()     {}
-func (Offered) event()      {}
+func (Tick) event()            {}
+func (HeadRead) event()        {}
+func (PlatformRead) event()    {}
+func (VersionReceived) event() {}
+func (Pulled) event()          {}
+func (Queried) event()         {}
+func (PushDone) event()        {}
+func (Accepted) event()        {}
+func (Offered) event()         {}
 
 // Action is one output of the state machine.
 type Action interface{ action() }
@@ -133,16 +133,16 @@
 	Held    config.Version
 }
 
-// Ask asks a peer for its version and for what it saw this node hold; answered
-// by Asked.
-type Ask struct {
+// Query asks a peer for its version and for what it saw this node hold; answered
+// by Queried.
+type Query struct {
 	Peer    string
 	Version config.Version
 }
 
-// Tell sends Version to the peers, with Deltas if there are any; answered by
-// one Told for each peer.
-type Tell struct {
+// Push sends Version to the peers, with Deltas if there are any; answered by
+// one PushDone for each peer.
+type Push struct {
 	Peers   []string
 	Version config.Version
 	Deltas  []*config.Delta
@@ -152,8 +152,8 @@
 // Offered.
 type Offer struct{ Snapshot *config.Snapshot }
 
-// StandIn hands on why a node that is no feeder reads the platform.
-type StandIn struct{ Finding *NotConfirmed }
+// FallbackRead hands on why a node that is no feeder reads the platform.
+type FallbackRead struct{ Finding *ConfirmationOverdue }
 
 // Report hands a finding to the log, the metrics and the handover.
 type Report struct{ Finding Finding }
@@ -162,8 +162,8 @@
 func (ReadSince) action()    {}
 func (ReadSnapshot) action() {}
 func (Pull) action()         {}
-func (Ask) action()          {}
-func (Tell) action()         {}
+func (Query) action()        {}
+func (Push) action()         {}
 func (Offer) action()        {}
-func (StandIn) action()      {}
+func (FallbackRead) action() {}
 func (Report) action()       {}
--- a/internal/distribute/failure_test.go
+++ b/internal/distribute/failure_test.go
@@ -29,7 +29,7 @@
 			VM: membership.VM{ID: p, DataCentre: "dc"}, State: membership.VMAlive,
 		}}
 	}
-	b.s = New(Defaults("self", "dc", Time()), now)
+	b.s = New(Defaults("self", "dc", TimeProfile()), now)
 	return b
 }
 
@@ -49,7 +49,7 @@
 	var out []Action
 	for range int(d / tickEvery) {
 		b.now = b.now.Add(tickEvery)
-		out = append(out, b.do(Ticked{})...)
+		out = append(out, b.do(Tick{})...)
 	}
 	return out
 }
@@ -97,9 +97,9 @@
 	return ds, s
 }
 
-func heardTell(peer string, ds []*config.Delta) Heard {
+func heardTell(peer string, ds []*config.Delta) VersionReceived {
 	to := ds[len(ds)-1].To
-	return Heard{Peer: peer, Version: to, InForce: to.Number, Tell: true, Deltas: ds}
+	return VersionReceived{Peer: peer, Version: to, InForce: to.Number, Pushed: true, Deltas: ds}
 }
 
 // What an operator would see: a target that changed twice in a second ends up
@@ -171,17 +171,17 @@
 	b := newBench(t, "a", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m")
 	ds, _ := history(t, "booking", 1)
 	out := b.do(Accepted{ds[0]})
-	first, ok := find[Tell](out)
+	first, ok := find[Push](out)
 	if !ok {
 		t.Fatal("told nobody")
 	}
 	tr := newTree(&b.s.set, b.view, ds[0].To)
 	for _, lost := range first.Peers {
-		again, _ := find[Tell](b.do(Told{Peer: lost, Version: ds[0].To, Err: errors.New("gone")}))
+		again, _ := find[Push](b.do(PushDone{Peer: lost, Version: ds[0].To, Err: errors.New("gone")}))
 		if want := tr.adopted(lost); len(again.Peers) != len(want) {
 			t.Fatalf("in place of %s told %v, want %v", lost, again.Peers, want)
 		}
-		if twice, _ := find[Tell](b.do(Told{Peer: lost, Version: ds[0].To, Err: errors.New("gone")})); len(twice.Peers) != 0 {
+		if twice, _ := find[Push](b.do(PushDone{Peer: lost, Version: ds[0].To, Err: errors.New("gone")})); len(twice.Peers) != 0 {
 			t.Fatal("stood in twice")
 		}
 	}
@@ -193,7 +193,7 @@
 func TestBusyPeerIsNotAskedAtOnce(t *testing.T) {
 	b := newBench(t, "p")
 	ds, _ := history(t, "booking", 2)
-	b.do(Heard{Peer: "p", Version: ds[1].To, Tell: true})
+	b.do(VersionReceived{Peer: "p", Version: ds[1].To, Pushed: true})
 	if _, ok := find[Pull](b.do(Pulled{Peer: "p", Err: &BusyError{time.Second}})); ok {
 		t.Fatal("asked again at once")
 	}
--- a/internal/distribute/feed.go
+++ b/internal/distribute/feed.go
@@ -140,7 +140,7 @@
 		return
 	}
 	f.fails = 0
-	f.after = s.now.Add(s.set.Profile.HeadEvery)
+	f.after = s.now.Add(s.set.Profile.HeadInterval)
 	f.answered = s.chain.relation(e.Version) != relationOther
 	f.answeredAt = f.askedAt
 	f.answer, f.current = e.Version, e.Version.Number >= f.heldThen
@@ -203,7 +203,7 @@
 		// since then by its feeders alone, and there are only two of them.
 		limit = s.set.RetryCap
 	}
-	wait := min(s.set.Profile.HeadEvery<<min(f.fails, maxShift), limit)
+	wait := min(s.set.Profile.HeadInterval<<min(f.fails, maxShift), limit)
 	f.after = s.now.Add(s.jitter(wait))
 	f.answeredAt = time.Time{} // a log that could not be read is asked for again soon
 	// Half of the wait is sure, so that a mesh without its platform asks for it seldom.
--- a/internal/distribute/feeder_test.go
+++ b/internal/distribute/feeder_test.go
@@ -58,7 +58,7 @@
 }
 
 func readsWhenAllSuspect(n, dcs, seconds int) int {
-	m := newMesh(n, dcs, 3, func(id, dc string) Settings { return Defaults(id, dc, Time()) })
+	m := newMesh(n, dcs, 3, func(id, dc string) Settings { return Defaults(id, dc, TimeProfile()) })
 	m.change(nil)
 	m.run(20 * time.Second)
 	m.cut = func(a, b string) bool { return true }
@@ -73,7 +73,7 @@
 // A data centre whose chosen feeders are really gone, with most of its nodes,
 // while it is cut off from the others, must learn of a change all the same.
 func TestDataCentreWithoutItsFeedersLearns(t *testing.T) {
-	m := newMesh(30, 1, 4, func(id, dc string) Settings { return Defaults(id, dc, Time()) })
+	m := newMesh(30, 1, 4, func(id, dc string) Settings { return Defaults(id, dc, TimeProfile()) })
 	m.change(nil)
 	m.run(20 * time.Second)
 	order := ranked("feeder/dc0/", m.ids)
--- a/internal/distribute/finding.go
+++ b/internal/distribute/finding.go
@@ -12,7 +12,7 @@
 const SourcePlatform = "(platform)"
 
 // Finding is something that an operator should know: a *Conflict, a *StaleHead,
-// a *BadPeer, an *Unconfirmed or a *NotConfirmed.
+// a *BadPeer, an *UnverifiedSnapshot or a *ConfirmationOverdue.
 type Finding interface {
 	error
 	// Kind is a short name for metrics.
@@ -65,35 +65,35 @@
 // Kind implements Finding.
 func (b *BadPeer) Kind() string { return "bad_peer" }
 
-// Unconfirmed tells of a snapshot that was dropped because no other peer knew
+// UnverifiedSnapshot tells of a snapshot that was dropped because no other peer knew
 // its version, or nobody showed that it descends from the version held. Its
 // sender may be ahead of all, have another history, or have made it up.
-type Unconfirmed struct {
+type UnverifiedSnapshot struct {
 	Peer    string
 	Version config.Version
 }
 
-func (u *Unconfirmed) Error() string {
+func (u *UnverifiedSnapshot) Error() string {
 	return fmt.Sprintf("distribute: nobody confirms that version %d (%s) of %s follows the one held",
 		u.Version.Number, u.Version.Hash.Short(), u.Peer)
 }
 
 // Kind implements Finding.
-func (u *Unconfirmed) Kind() string { return "unconfirmed" }
+func (u *UnverifiedSnapshot) Kind() string { return "unconfirmed" }
 
-// NotConfirmed tells that neither the feeders nor anybody else has confirmed the version held for
+// ConfirmationOverdue tells that neither the feeders nor anybody else has confirmed the version held for
 // so long that this node, which is no feeder, reads the platform itself.
-type NotConfirmed struct {
+type ConfirmationOverdue struct {
 	Held config.Version
 	Age  time.Duration
 	// Reader is the node that the platform answered last, as far as is known here.
 	Reader string
 }
 
-func (n *NotConfirmed) Error() string {
+func (n *ConfirmationOverdue) Error() string {
 	return fmt.Sprintf("distribute: nobody has confirmed version %d for %v, last %q; this node reads the platform",
 		n.Held.Number, n.Age.Round(time.Millisecond), n.Reader)
 }
 
 // Kind implements Finding.
-func (n *NotConfirmed) Kind() string { return "no_feeder" }
+func (n *ConfirmationOverdue) Kind() string { return "no_feeder" }
--- a/internal/distribute/harness_test.go
+++ b/internal/distribute/harness_test.go
@@ -60,7 +60,7 @@
 	force   map[uint64]time.Time
 	reports []Finding
 	// standIns are the reads in place of the feeders that were reported.
-	standIns []*NotConfirmed
+	standIns []*ConfirmationOverdue
 	fail     func(*config.Snapshot) error
 }
 
@@ -124,7 +124,7 @@
 	var tick, probe func()
 	tick = func() {
 		if n.life == life && n.up {
-			m.step(n, Ticked{})
+			m.step(n, Tick{})
 			m.after(tickEvery, tick)
 		}
 	}
@@ -186,13 +186,13 @@
 	aHeld, aForce, aConfirmed := a.state.Version(), a.state.InForce(), m.confirmed(a)
 	life := a.life
 	ok := m.send(a, b, func() {
-		m.step(b, Heard{Peer: a.id, Version: aHeld, InForce: aForce, Tell: tell, Deltas: ds, Confirmed: aConfirmed})
+		m.step(b, VersionReceived{Peer: a.id, Version: aHeld, InForce: aForce, Pushed: tell, Deltas: ds, Confirmed: aConfirmed})
 		v, f, c := b.state.Version(), b.state.InForce(), m.confirmed(b)
 		m.send(b, a, func() {
 			if a.life != life {
 				return
 			}
-			m.step(a, Heard{Peer: b.id, Version: v, InForce: f, Confirmed: c})
+			m.step(a, VersionReceived{Peer: b.id, Version: v, InForce: f, Confirmed: c})
 			done(nil)
 		})
 	})
@@ -224,7 +224,7 @@
 	m.count(request, 0)
 	m.send(a, b, func() {
 		ans := b.state.Serve(m.view, a.id, v, headOnly)
-		ans.KnowsHeld = b.state.Knows(held)
+		ans.KnowsHeld = b.state.InHistory(held)
 		packed, err := Pack(ans.Deltas, ans.Snapshot)
 		if err != nil {
 			panic(err)
@@ -259,32 +259,32 @@
 		m.offer(n, a.Snapshot)
 	case Report:
 		n.reports = append(n.reports, a.Finding)
-	case StandIn:
+	case FallbackRead:
 		n.standIns = append(n.standIns, a.Finding)
-	case Tell:
+	case Push:
 		m.tell(n, a)
 	case Pull:
 		m.pulls++
 		m.ask(n, m.nodes[a.Peer], a.Version, a.Held, false, func(ans Answer, err error) {
 			m.step(n, Pulled{Peer: a.Peer, Answer: ans, Err: err})
 		})
-	case Ask:
+	case Query:
 		m.ask(n, m.nodes[a.Peer], a.Version, a.Version, true, func(ans Answer, err error) {
-			m.step(n, Asked{Peer: a.Peer, Answer: ans, Err: err})
+			m.step(n, Queried{Peer: a.Peer, Answer: ans, Err: err})
 		})
 	default:
 		m.platform(n, a)
 	}
 }
 
-func (m *mesh) tell(n *node, a Tell) {
+func (m *mesh) tell(n *node, a Push) {
 	if m.random { // keep the bridges alone
 		a.Peers = slices.DeleteFunc(a.Peers, func(p string) bool { return m.nodes[p].dc == n.dc })
 	}
 	m.sendTells(n, a)
 }
 
-func (m *mesh) sendTells(n *node, a Tell) {
+func (m *mesh) sendTells(n *node, a Push) {
 	packed, err := Pack(a.Deltas, nil)
 	if err != nil {
 		panic(err)
@@ -294,7 +294,7 @@
 		m.count(envelope(m.nodes[p], a.Version, nil), 0)
 		m.exchange(n, m.nodes[p], a.Deltas, true, func(err error) {
 			if err == nil || !m.noStand {
-				m.step(n, Told{Peer: p, Version: a.Version, Err: err})
+				m.step(n, PushDone{Peer: p, Version: a.Version, Err: err})
 			}
 		})
 	}
@@ -318,7 +318,7 @@
 	}
 	m.rng.Shuffle(len(own), func(i, j int) { own[i], own[j] = own[j], own[i] })
 	own = own[:min(n.state.set.Profile.FanOut, len(own))]
-	m.sendTells(n, Tell{Peers: own, Version: v, Deltas: m.log[v.Number-1 : v.Number]})
+	m.sendTells(n, Push{Peers: own, Version: v, Deltas: m.log[v.Number-1 : v.Number]})
 }
 
 // converged reports whether every live node holds the platform's newest.
--- a/internal/distribute/jump.go
+++ b/internal/distribute/jump.go
@@ -164,7 +164,7 @@
 	}
 	s.jump = nil
 	v := j.snapshot.Version()
-	s.report(&Unconfirmed{Peer: j.from, Version: v}, j.from, v)
+	s.report(&UnverifiedSnapshot{Peer: j.from, Version: v}, j.from, v)
 	s.discredit(j.from)
 }
 
--- a/internal/distribute/liar_test.go
+++ b/internal/distribute/liar_test.go
@@ -32,23 +32,23 @@
 	ds, _ := history(t, "booking", 2)
 	b.do(heardTell("p", ds))
 	high := config.Version{Number: 1e18, Hash: config.Hash{1}}
-	pull, ok := find[Pull](b.do(Heard{Peer: "liar", Version: high, Tell: true}))
+	pull, ok := find[Pull](b.do(VersionReceived{Peer: "liar", Version: high, Pushed: true}))
 	if !ok || pull.Peer != "liar" {
 		t.Fatal("no pull from the peer that claims")
 	}
 	if findings(b.do(Pulled{Peer: "liar", Answer: Answer{Version: high}}), "bad_peer") != 1 {
 		t.Fatal("not reported")
 	}
-	if _, again := find[Pull](b.do(Heard{Peer: "liar", Version: high, Tell: true})); again {
+	if _, again := find[Pull](b.do(VersionReceived{Peer: "liar", Version: high, Pushed: true})); again {
 		t.Fatal("believed again at once")
 	}
 	for _, p := range []string{"p", "q"} {
-		b.do(Asked{Peer: p, Answer: Answer{Version: ds[1].To, Ready: true}})
+		b.do(Queried{Peer: p, Answer: Answer{Version: ds[1].To, Ready: true}})
 	}
 	if ok, why := b.s.Ready(); ok {
 		t.Fatal("ready before three peers were asked: " + why)
 	}
-	b.do(Asked{Peer: "liar", Answer: Answer{Version: high, Ready: true}})
+	b.do(Queried{Peer: "liar", Answer: Answer{Version: high, Ready: true}})
 	if ok, why := b.s.Ready(); !ok {
 		t.Fatal(why)
 	}
@@ -63,7 +63,7 @@
 	ds, _ := history(t, "booking", 2)
 	theirs, forged := history(t, "evil", 300)
 	b.do(heardTell("p", ds))
-	b.do(Heard{Peer: "liar", Version: theirs[299].To, Tell: true})
+	b.do(VersionReceived{Peer: "liar", Version: theirs[299].To, Pushed: true})
 	out := b.do(Pulled{Peer: "liar", Answer: Answer{Version: forged.Version(), Snapshot: forged}})
 	b.holds(2)
 	ask, ok := find[Pull](out)
@@ -71,7 +71,7 @@
 		t.Fatalf("does not ask the other peer for it: %v", out)
 	}
 	b.do(Pulled{Peer: "p", Answer: Answer{Version: ds[1].To}})
-	b.do(Heard{Peer: "liar", Version: forged.Version()}) // no witness for itself
+	b.do(VersionReceived{Peer: "liar", Version: forged.Version()}) // no witness for itself
 	b.holds(2)
 	if findings(b.wait(b.s.set.AloneAfter+time.Second), "unconfirmed") != 1 {
 		t.Fatal("not reported")
@@ -83,7 +83,7 @@
 	_, snap := history(t, "booking", 300)
 	v := snap.Version()
 	witnesses := map[string]func(b *bench){
-		"a second peer tells it":    func(b *bench) { b.do(Heard{Peer: "q", Version: v}) },
+		"a second peer tells it":    func(b *bench) { b.do(VersionReceived{Peer: "q", Version: v}) },
 		"a second peer confirms it": func(b *bench) { b.do(Pulled{Peer: "q", Answer: Answer{Version: v}}) },
 		"the platform has it":       func(b *bench) { b.do(HeadRead{Version: v}) },
 		"nobody else can be asked": func(b *bench) {
@@ -95,7 +95,7 @@
 	for name, witness := range witnesses {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, "p", "q")
-			b.do(Heard{Peer: "p", Version: v, Tell: true})
+			b.do(VersionReceived{Peer: "p", Version: v, Pushed: true})
 			b.do(Pulled{Peer: "p", Answer: Answer{Version: v, Snapshot: snap}})
 			b.holds(0)
 			witness(b)
--- a/internal/distribute/perform.go
+++ b/internal/distribute/perform.go
@@ -20,11 +20,11 @@
 	switch a := a.(type) {
 	case Report:
 		r.report(a.Finding)
-	case StandIn:
+	case FallbackRead:
 		r.report(a.Finding)
 	case Offer:
 		r.spawn(func(context.Context) { r.offer(a.Snapshot) })
-	case Tell:
+	case Push:
 		r.performTell(a)
 	default:
 		r.spawn(func(ctx context.Context) { r.ask(ctx, a) })
@@ -64,9 +64,9 @@
 	case Pull:
 		ans, err := r.pull(ctx, a, false)
 		r.step(Pulled{Peer: a.Peer, Answer: ans, Err: err})
-	case Ask:
+	case Query:
 		ans, err := r.pull(ctx, Pull{Peer: a.Peer, Version: a.Version, Held: a.Version}, true)
-		r.step(Asked{Peer: a.Peer, Answer: ans, Err: err})
+		r.step(Queried{Peer: a.Peer, Answer: ans, Err: err})
 	}
 }
 
@@ -106,7 +106,7 @@
 }
 
 // performTell sends one tell to each peer.
-func (r *Runner) performTell(a Tell) {
+func (r *Runner) performTell(a Push) {
 	packed, err := Pack(a.Deltas, nil)
 	if err != nil {
 		r.deps.Log.Error().Err(err).Msg("distribute: tell without the changes")
@@ -117,7 +117,7 @@
 				return
 			}
 			defer r.tells.Release(1)
-			r.step(Told{Peer: p, Version: a.Version, Err: r.tell(ctx, p, packed)})
+			r.step(PushDone{Peer: p, Version: a.Version, Err: r.tell(ctx, p, packed)})
 		})
 	}
 }
@@ -129,7 +129,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
 	defer cancel()
-	return r.deps.Client.Tell(ctx, addr, packed)
+	return r.deps.Client.Push(ctx, addr, packed)
 }
 
 func (r *Runner) addr(peer string) (string, error) {
@@ -189,7 +189,7 @@
 	}
 	r.mu.Lock()
 	a := r.state.Serve(r.deps.Views.Load(), req.From, v, req.HeadOnly)
-	a.KnowsHeld = r.state.Knows(held)
+	a.KnowsHeld = r.state.InHistory(held)
 	r.mu.Unlock()
 	packed, err := r.pack(a)
 	if err != nil {
--- a/internal/distribute/property_test.go
+++ b/internal/distribute/property_test.go
@@ -15,12 +15,12 @@
 // version and never one that is not in the log.
 func TestNeverBackwardsAndAllConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := Time()
+		p := TimeProfile()
 		if rapid.Bool().Draw(t, "bytes") {
-			p = Bytes()
+			p = BytesProfile()
 		}
 		if rapid.Bool().Draw(t, "pull") {
-			p.PushBytes = 0
+			p.MaxInlineBytes = 0
 		}
 		n := rapid.IntRange(1, 9).Draw(t, "nodes")
 		m := newMesh(n, rapid.IntRange(1, 3).Draw(t, "dcs"), rapid.Uint64().Draw(t, "seed"),
@@ -118,7 +118,7 @@
 func TestRestartedNodeIsNotReadyBelowWhatPeersSaw(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMesh(rapid.IntRange(4, 6).Draw(t, "nodes"), 2, rapid.Uint64().Draw(t, "seed"),
-			func(id, dc string) Settings { return Defaults(id, dc, Time()) })
+			func(id, dc string) Settings { return Defaults(id, dc, TimeProfile()) })
 		m.change(nil)
 		m.run(20 * time.Second)
 		for range rapid.IntRange(1, 4).Draw(t, "changes") {
--- a/internal/distribute/pull.go
+++ b/internal/distribute/pull.go
@@ -27,7 +27,7 @@
 const maxPullFails = 4
 
 // heard takes the version that a peer's message carried.
-func (s *State) heard(e Heard) {
+func (s *State) heard(e VersionReceived) {
 	if !s.believed(e.Peer) {
 		return
 	}
@@ -35,7 +35,7 @@
 	if len(e.Deltas) > 0 && !s.applyDeltas(e.Peer, e.Deltas) {
 		return
 	}
-	s.Contact(s.now, e)
+	s.RecordMessage(s.now, e)
 	s.witness(e.Peer, e.Version)
 	if !e.Version.Newer(s.Version()) {
 		delete(s.claims, e.Peer)
@@ -48,16 +48,16 @@
 }
 
 // claim remembers a newer version and when to pull it.
-func (s *State) claim(e Heard) {
+func (s *State) claim(e VersionReceived) {
 	c := s.claims[e.Peer]
-	if c != nil && c.version == e.Version && !e.Tell {
+	if c != nil && c.version == e.Version && !e.Pushed {
 		return
 	}
 	if c == nil && len(s.claims) >= s.set.MaxClaims {
 		return // whoever is in there has it too, or the next message tells
 	}
 	after := s.now
-	if !e.Tell && s.Version().Number > 0 {
+	if !e.Pushed && s.Version().Number > 0 {
 		d := s.set.Profile.PullDelay
 		after = after.Add(d/2 + s.jitter(d/2))
 	}
--- a/internal/distribute/ready.go
+++ b/internal/distribute/ready.go
@@ -75,11 +75,11 @@
 	return s.uninformed()
 }
 
-// Informed reports whether this node has heard enough to hold what the mesh
+// CaughtUp reports whether this node has heard enough to hold what the mesh
 // holds, in force or not. Unlike Ready it does not ask that the version can run
 // here: a mesh that cannot run its newest version has to take the change that
 // mends it.
-func (s *State) Informed() bool {
+func (s *State) CaughtUp() bool {
 	return s.start.done || (s.Version().Number >= s.start.floor && s.uninformed() == "")
 }
 
@@ -105,14 +105,14 @@
 	return n, n > 0 && n >= min(maxForeign, s.others())
 }
 
-// Stranded reports whether neither the peers nor the platform have the history that this
+// Orphaned reports whether neither the peers nor the platform have the history that this
 // node holds, and has never carried traffic with.
 //
 // It guards against a node that started while the platform held a table that was restored by
 // mistake. Once the right table is back, no change leads from what it holds to what all
 // others run: it would refuse its callers until somebody starts it again. Its platform's head
 // counts only when several answers in a row agree; see noteHead.
-func (s *State) Stranded() bool {
+func (s *State) Orphaned() bool {
 	_, foreign := s.foreignPeers()
 	head := s.feed.head
 	return !s.start.done && foreign && head.Number > 0 && s.chain.relation(head) == relationOther
@@ -142,7 +142,7 @@
 			ready++
 		}
 	}
-	want := min(s.set.AskPeers, s.others())
+	want := min(s.set.QueryPeers, s.others())
 	waited := s.now.Sub(s.started) >= s.set.AloneAfter
 	switch {
 	case want > 0 && ready >= want:
@@ -175,7 +175,7 @@
 	if s.start.done {
 		return
 	}
-	need := s.set.AskPeers
+	need := s.set.QueryPeers
 	for _, a := range s.start.asks {
 		if a.busy || a.ready && !s.runsOther(a) {
 			need--
@@ -192,7 +192,7 @@
 			s.start.asks[peer] = a
 		}
 		a.busy = true
-		s.emit(Ask{Peer: peer, Version: s.Version()})
+		s.emit(Query{Peer: peer, Version: s.Version()})
 	}
 }
 
@@ -201,7 +201,7 @@
 	return a == nil || !a.busy && (!a.ready || s.runsOther(a)) && !s.now.Before(a.after)
 }
 
-func (s *State) asked(e Asked) {
+func (s *State) asked(e Queried) {
 	a := s.start.asks[e.Peer]
 	if a == nil || s.start.done {
 		return
@@ -221,5 +221,5 @@
 		s.conflict(e.Peer, e.Answer.Version)
 		return
 	}
-	s.heard(Heard{Peer: e.Peer, Version: e.Answer.Version, Tell: true})
+	s.heard(VersionReceived{Peer: e.Peer, Version: e.Answer.Version, Pushed: true})
 }
--- a/internal/distribute/restart_test.go
+++ b/internal/distribute/restart_test.go
@@ -21,9 +21,9 @@
 			case ReadHead:
 				reads++
 				b.do(HeadRead{Err: errLost})
-			case Ask:
+			case Query:
 				asks++
-				b.do(Asked{Peer: a.Peer, Err: errLost})
+				b.do(Queried{Peer: a.Peer, Err: errLost})
 			}
 		}
 	}
@@ -40,7 +40,7 @@
 // configuration: every route is gone. Answers of peers that are starting
 // themselves do not count.
 func TestHerdOfEmptyNodesIsNotReadyWithoutThePlatform(t *testing.T) {
-	m := newMesh(8, 1, 3, func(id, dc string) Settings { return Defaults(id, dc, Time()) })
+	m := newMesh(8, 1, 3, func(id, dc string) Settings { return Defaults(id, dc, TimeProfile()) })
 	m.change(nil)
 	m.down = true
 	m.run(2 * time.Minute)
@@ -60,9 +60,9 @@
 func TestFloorHoldsUntilReached(t *testing.T) {
 	b := newBench(t, "p")
 	ds, _ := history(t, "booking", 5)
-	b.do(Ticked{})
+	b.do(Tick{})
 	b.do(heardTell("p", ds[:4]))
-	b.do(Asked{Peer: "p", Answer: Answer{Version: ds[3].To, YouHeld: 5, Ready: true}})
+	b.do(Queried{Peer: "p", Answer: Answer{Version: ds[3].To, YouHeld: 5, Ready: true}})
 	b.do(HeadRead{Version: ds[3].To})
 	b.wait(time.Minute)
 	if ok, why := b.s.Ready(); ok || why != "version 4 is in force, but p saw version 5 in force here before" {
@@ -81,8 +81,8 @@
 	b := newBench(t, "vm", "p")
 	ds, _ := history(t, "booking", 3)
 	b.do(heardTell("p", ds[:1]))
-	b.do(Heard{Peer: "vm", Version: ds[2].To, InForce: 3})
-	b.do(Heard{Peer: "vm", Version: config.Empty().Version()}) // restarted
+	b.do(VersionReceived{Peer: "vm", Version: ds[2].To, InForce: 3})
+	b.do(VersionReceived{Peer: "vm", Version: config.Empty().Version()}) // restarted
 	if a := b.s.Serve(b.view, "vm", config.Empty().Version(), true); a.YouHeld != 3 || a.Version.Number != 1 {
 		t.Fatalf("tells the VM that it held %d", a.YouHeld)
 	}
@@ -94,11 +94,11 @@
 	b := newBench(t, "p", "q", "dead")
 	ds, _ := history(t, "booking", 2)
 	b.do(heardTell("p", ds[:1]))
-	b.do(Heard{Peer: "dead", Version: ds[1].To, Tell: true})
+	b.do(VersionReceived{Peer: "dead", Version: ds[1].To, Pushed: true})
 	for _, p := range []string{"p", "q"} {
-		b.do(Asked{Peer: p, Answer: Answer{Version: ds[0].To, Ready: true}})
+		b.do(Queried{Peer: p, Answer: Answer{Version: ds[0].To, Ready: true}})
 	}
-	b.do(Asked{Peer: "dead", Err: errLost})
+	b.do(Queried{Peer: "dead", Err: errLost})
 	if ok, _ := b.s.Ready(); ok {
 		t.Fatal("ready though a peer told a newer version")
 	}
@@ -125,7 +125,7 @@
 	b.do(PlatformRead{Deltas: theirs})
 	b.holds(3)
 	for _, p := range []string{"p", "q", "r"} {
-		b.do(Asked{Peer: p, Answer: Answer{Version: ours[2].To, Ready: true, OtherHistory: true}})
+		b.do(Queried{Peer: p, Answer: Answer{Version: ours[2].To, Ready: true, OtherHistory: true}})
 	}
 	for range 30 {
 		b.wait(time.Second)
@@ -145,7 +145,7 @@
 	ours, _ := history(t, "ours", 3)
 	theirs, _ := history(t, "theirs", 4)
 	for _, p := range []string{"p", "q", "r"} {
-		b.do(Asked{Peer: p, Answer: Answer{Version: ours[2].To, Ready: true}})
+		b.do(Queried{Peer: p, Answer: Answer{Version: ours[2].To, Ready: true}})
 	}
 	b.do(HeadRead{Version: theirs[3].To})
 	b.do(PlatformRead{Deltas: theirs})
@@ -153,9 +153,9 @@
 	asked := 0
 	for range 300 {
 		for _, a := range b.wait(tickEvery) {
-			if a, ok := a.(Ask); ok {
+			if a, ok := a.(Query); ok {
 				asked++
-				b.do(Asked{Peer: a.Peer, Answer: Answer{Version: ours[2].To, Ready: true, OtherHistory: true}})
+				b.do(Queried{Peer: a.Peer, Answer: Answer{Version: ours[2].To, Ready: true, OtherHistory: true}})
 			}
 		}
 		if ok, _ := b.s.Ready(); ok {
@@ -180,22 +180,22 @@
 	b.do(PlatformRead{Deltas: theirs})
 	b.holds(4)
 	for _, p := range []string{"p", "q", "r"} {
-		b.do(Asked{Peer: p, Answer: Answer{Version: ours[2].To, Ready: true, OtherHistory: true}})
+		b.do(Queried{Peer: p, Answer: Answer{Version: ours[2].To, Ready: true, OtherHistory: true}})
 	}
 	for range 10 {
 		b.do(HeadRead{Version: theirs[3].To})
-		if b.s.Stranded() {
+		if b.s.Orphaned() {
 			t.Fatal("ends while the platform has its history")
 		}
 	}
 	b.do(HeadRead{Version: ours[2].To})
-	if b.s.Stranded() {
+	if b.s.Orphaned() {
 		t.Fatal("ends for a single older head, which may be a stale read")
 	}
 	for range olderHeads {
 		b.do(HeadRead{Version: ours[2].To})
 	}
-	if !b.s.Stranded() {
+	if !b.s.Orphaned() {
 		t.Fatal("holds on to a history that nobody has")
 	}
 }
@@ -209,7 +209,7 @@
 	b.do(HeadRead{Version: ours[2].To})
 	b.do(PlatformRead{Deltas: ours})
 	for _, p := range []string{"p", "q", "r"} {
-		b.do(Asked{Peer: p, Answer: Answer{Version: ours[2].To, Ready: true}})
+		b.do(Queried{Peer: p, Answer: Answer{Version: ours[2].To, Ready: true}})
 	}
 	b.wait(tickEvery)
 	if ok, why := b.s.Ready(); !ok {
@@ -217,10 +217,10 @@
 	}
 	for range 2 * olderHeads {
 		b.do(HeadRead{Version: theirs[2].To})
-		b.do(Heard{Peer: "p", Version: theirs[2].To, Tell: true})
+		b.do(VersionReceived{Peer: "p", Version: theirs[2].To, Pushed: true})
 		b.wait(tickEvery)
 	}
-	if b.s.Stranded() {
+	if b.s.Orphaned() {
 		t.Fatal("ends though it carries traffic")
 	}
 }
@@ -232,22 +232,22 @@
 func TestNodeKnowsWhenItIsInformed(t *testing.T) {
 	b := newBench(t, "p", "q", "r")
 	ds, _ := history(t, "mesh", 2)
-	b.do(Ticked{})
+	b.do(Tick{})
 	b.do(HeadRead{Version: config.Empty().Version()})
-	if b.s.Informed() {
+	if b.s.CaughtUp() {
 		t.Fatal("informed by the platform alone")
 	}
-	b.do(Heard{Peer: "p", Version: ds[1].To})
+	b.do(VersionReceived{Peer: "p", Version: ds[1].To})
 	for _, p := range []string{"p", "q", "r"} {
-		b.do(Asked{Peer: p, Answer: Answer{Version: ds[1].To, YouHeld: 2, Ready: true}})
+		b.do(Queried{Peer: p, Answer: Answer{Version: ds[1].To, YouHeld: 2, Ready: true}})
 	}
-	if b.s.Informed() {
+	if b.s.CaughtUp() {
 		t.Fatal("informed before it holds what its peers hold")
 	}
 	b.s.Step(b.now, b.rng, b.view, heardTell("p", ds)) // nothing comes in force
 	b.holds(2)
-	if ok, _ := b.s.Ready(); ok || !b.s.Informed() {
-		t.Fatalf("ready %t, informed %t", ok, b.s.Informed())
+	if ok, _ := b.s.Ready(); ok || !b.s.CaughtUp() {
+		t.Fatalf("ready %t, informed %t", ok, b.s.CaughtUp())
 	}
 }
 
@@ -265,7 +265,7 @@
 		t.Error("no report")
 	}
 	for _, p := range []string{"p", "q", "r"} {
-		b.do(Asked{Peer: p, Answer: Answer{Version: ours[1].To, Ready: true}})
+		b.do(Queried{Peer: p, Answer: Answer{Version: ours[1].To, Ready: true}})
 	}
 	if ok, why := b.s.Ready(); !ok {
 		t.Fatal(why)
@@ -282,17 +282,17 @@
 	ours, _ := history(t, "ours", 2)
 	theirs, _ := history(t, "theirs", 4)
 	b.do(heardTell("p", ours))
-	b.do(Heard{Peer: "vm", Version: theirs[3].To, InForce: 4, Tell: true})
+	b.do(VersionReceived{Peer: "vm", Version: theirs[3].To, InForce: 4, Pushed: true})
 	b.do(Pulled{Peer: "vm", Answer: Answer{Version: theirs[3].To, OtherHistory: true}})
 	b.view.Records["vm"].Applied = 4 // its record of before the restart
 	empty := config.Empty().Version()
 	if a := b.s.Serve(b.view, "vm", empty, true); a.YouHeld != 2 {
 		t.Fatalf("tells the VM that it held %d", a.YouHeld)
 	}
-	b.do(Heard{Peer: "vm", Version: empty}) // restarted
-	b.wait(b.s.set.Discredit + time.Second)
+	b.do(VersionReceived{Peer: "vm", Version: empty}) // restarted
+	b.wait(b.s.set.BanTime + time.Second)
 	more, _ := history(t, "ours", 5)
-	b.do(Heard{Peer: "vm", Version: more[4].To, InForce: 5})
+	b.do(VersionReceived{Peer: "vm", Version: more[4].To, InForce: 5})
 	if a := b.s.Serve(b.view, "vm", empty, true); a.YouHeld != 5 {
 		t.Fatalf("forgets that the VM held 5 since: %d", a.YouHeld)
 	}
@@ -310,7 +310,7 @@
 	b.do(HeadRead{Version: theirs[3].To})
 	b.do(PlatformRead{Err: errLost})
 	for _, p := range []string{"p", "q", "r"} {
-		b.do(Asked{Peer: p, Answer: Answer{Version: ours[1].To, Ready: true}})
+		b.do(Queried{Peer: p, Answer: Answer{Version: ours[1].To, Ready: true}})
 	}
 	b.do(HeadRead{Version: ours[1].To})
 	if ok, _ := b.s.Ready(); ok {
@@ -331,14 +331,14 @@
 // read the head, the log and the snapshot from the platform.
 func TestNoReadBeforeFirstContact(t *testing.T) {
 	ds, _ := history(t, "booking", 2)
-	s := New(Defaults("vm", "dc", Time()), time.Unix(0, 0))
+	s := New(Defaults("vm", "dc", TimeProfile()), time.Unix(0, 0))
 	alone := &membership.View{Self: "vm"}
 	rng := rand.New(rand.NewPCG(1, 1))
-	out := s.Step(time.Unix(1, 0), rng, alone, Heard{Peer: "p", Version: ds[1].To})
+	out := s.Step(time.Unix(1, 0), rng, alone, VersionReceived{Peer: "p", Version: ds[1].To})
 	if _, ok := find[ReadHead](out); ok {
 		t.Fatal("reads the platform before first contact")
 	}
-	if _, ok := find[ReadHead](s.Step(time.Unix(2, 0), rng, alone, Ticked{})); !ok {
+	if _, ok := find[ReadHead](s.Step(time.Unix(2, 0), rng, alone, Tick{})); !ok {
 		t.Fatal("alone, and does not read the platform")
 	}
 }
--- a/internal/distribute/roles.go
+++ b/internal/distribute/roles.go
@@ -7,9 +7,9 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// Feeds reports whether self is one of the nodes of data centre dc that read the
+// IsFeeder reports whether self is one of the nodes of data centre dc that read the
 // platform for the others.
-func Feeds(v *membership.View, self, dc string) bool {
+func IsFeeder(v *membership.View, self, dc string) bool {
 	order := feederOrder(v, self, dc)
 	return slices.Contains(order[:min(feedersPerDC, len(order))], self)
 }
@@ -20,40 +20,40 @@
 	return byLink(v, ranked("feeder/"+dc+"/", ids))
 }
 
-// Place is where a node stands among those of its data centre by which versions come to it.
-type Place struct {
+// Position is where a node stands among those of its data centre by which versions come to it.
+type Position struct {
 	// Rank is the node's place in the order in which nodes are to read the platform. The first
 	// two are the feeders.
 	Rank    int
 	Feeders []string
-	// Tellers are the nodes that this one depends on for versions, in the order in which it asks
+	// Parents are the nodes that this one depends on for versions, in the order in which it asks
 	// them whether they are there. They are the feeders, which half of the nodes ask the other
 	// way about; in a tree the node above, then a feeder. A feeder has none.
-	Tellers []string
-	// Askers is how many nodes at most ask the first teller.
-	Askers int
+	Parents []string
+	// MaxQueriers is how many nodes at most ask the first teller.
+	MaxQueriers int
 	// Depth is how many tells a version takes from a feeder to this node.
 	Depth int
 }
 
-// PlaceOf returns the place of self in data centre dc.
-func PlaceOf(v *membership.View, self, dc string) Place {
+// PositionOf returns the place of self in data centre dc.
+func PositionOf(v *membership.View, self, dc string) Position {
 	order := feederOrder(v, self, dc)
-	p := Place{Rank: slices.Index(order, self), Feeders: order[:min(feedersPerDC, len(order))]}
+	p := Position{Rank: slices.Index(order, self), Feeders: order[:min(feedersPerDC, len(order))]}
 	if p.Rank < feedersPerDC {
 		return p
 	}
-	p.Tellers = slices.Clone(p.Feeders)
+	p.Parents = slices.Clone(p.Feeders)
 	if p.Rank%2 == 1 {
-		slices.Reverse(p.Tellers)
+		slices.Reverse(p.Parents)
 	}
 	if p.Depth = depth(p.Rank); p.Depth > 1 {
-		p.Tellers = []string{order[above(p.Rank)], p.Tellers[0]}
-		p.Askers = directTells
+		p.Parents = []string{order[above(p.Rank)], p.Parents[0]}
+		p.MaxQueriers = directTells
 		return p
 	}
 	told := min(len(order)-feedersPerDC, directTells)
-	p.Askers = (told + 1) / 2
+	p.MaxQueriers = (told + 1) / 2
 	return p
 }
 
@@ -89,11 +89,11 @@
 // larger ones a tree passes a version on, so that no node sends more than these.
 const directTells = 32
 
-// ToTell returns the nodes of data centre dc that self tells of a version once it
+// PushTargets returns the nodes of data centre dc that self tells of a version once it
 // holds it: a feeder all others, or the upper part of a tree where they are many,
 // and in such a tree every other node those below it. Nodes whose views differ get
 // slightly different trees; whoever is missed hears by the membership.
-func ToTell(v *membership.View, self, dc string) []string {
+func PushTargets(v *membership.View, self, dc string) []string {
 	ids := live(v, self, dc)[dc]
 	order := byLink(v, ranked("feeder/"+dc+"/", ids))
 	at := slices.Index(order, self)
@@ -112,14 +112,14 @@
 	return order[min(below, len(order)):min(below+directTells, len(order))]
 }
 
-// ToMention returns the first feeder of each other data centre, if self is that of dc. They
+// CrossDCTargets returns the first feeder of each other data centre, if self is that of dc. They
 // are told that there is a version, and not what has changed: each reads it by itself.
 //
 // It guards against a data centre whose feeders the platform keeps waiting, while it answers
 // all others. Such feeders don't know yet that they can't read, and hear of a version only by
 // the exchanges between data centres, some seconds apart. Told at once, they pull it as soon
 // as it is overdue.
-func ToMention(v *membership.View, self, dc string) []string {
+func CrossDCTargets(v *membership.View, self, dc string) []string {
 	if feederOrder(v, self, dc)[0] != self {
 		return nil
 	}
--- a/internal/distribute/roles_test.go
+++ b/internal/distribute/roles_test.go
@@ -21,14 +21,14 @@
 	heard := map[string]int{}
 	tellers := 0
 	for id, r := range v.Records {
-		to := ToMention(v, id, r.VM.DataCentre)
+		to := CrossDCTargets(v, id, r.VM.DataCentre)
 		if len(to) == 0 {
 			continue
 		}
 		tellers++
 		for _, p := range to {
 			heard[p]++
-			if its := v.Records[p].VM.DataCentre; its == r.VM.DataCentre || !Feeds(v, p, its) {
+			if its := v.Records[p].VM.DataCentre; its == r.VM.DataCentre || !IsFeeder(v, p, its) {
 				t.Errorf("%s of %s tells %s of %s", id, r.VM.DataCentre, p, its)
 			}
 		}
@@ -41,7 +41,7 @@
 			t.Errorf("%s is told by %d", id, n)
 		}
 	}
-	if got := ToMention(nil, "vm1", "dc1"); got != nil {
+	if got := CrossDCTargets(nil, "vm1", "dc1"); got != nil {
 		t.Errorf("alone: %v", got)
 	}
 }
--- a/internal/distribute/runner.go
+++ b/internal/distribute/runner.go
@@ -28,7 +28,7 @@
 // sender's version, and hands what each answer says of the peer's version to
 // Runner.Heard.
 type Client interface {
-	Tell(ctx context.Context, addr string, changes *peerpb.Packed) error
+	Push(ctx context.Context, addr string, changes *peerpb.Packed) error
 	// Pull fails when another VM than to answers at addr.
 	Pull(ctx context.Context, to, addr string, req *peerpb.PullRequest) (*peerpb.PullResponse, error)
 }
@@ -131,15 +131,15 @@
 }
 
 // Run drives the state until ctx ends, then waits for what is in flight and returns nil. It
-// returns ErrStranded earlier if the node has to be started again.
+// returns ErrOrphaned earlier if the node has to be started again.
 func (r *Runner) Run(ctx context.Context) error {
 	defer r.stop()
 	t := time.NewTicker(tickEvery)
 	defer t.Stop()
 	for {
-		r.step(Ticked{})
+		r.step(Tick{})
 		if r.stranded() {
-			return ErrStranded
+			return ErrOrphaned
 		}
 		select {
 		case <-ctx.Done():
@@ -152,7 +152,7 @@
 func (r *Runner) stranded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.state.Stranded()
+	return r.state.Orphaned()
 }
 
 // stop ends what is in flight and waits for it.
@@ -184,7 +184,7 @@
 func (r *Runner) Held() (config.Version, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.state.Version(), r.state.Informed()
+	return r.state.Version(), r.state.CaughtUp()
 }
 
 // Accepted tells of a change that this node committed itself.
@@ -224,9 +224,9 @@
 		r.deps.Log.Warn().Str("peer", e.From).Err(err).Msg("distribute: drop changes")
 		ds = nil
 	}
-	heard := Heard{
+	heard := VersionReceived{
 		Peer: e.From, Version: v, InForce: v.Number - min(e.Behind, v.Number),
-		Tell: e.Membership == nil, Deltas: ds, Confirmed: ConfirmationFromProto(time.Now(), e.Confirmed),
+		Pushed: e.Membership == nil, Deltas: ds, Confirmed: ConfirmationFromProto(time.Now(), e.Confirmed),
 	}
 	if len(ds) == 0 && e.Behind == 0 && r.known(heard) {
 		return
@@ -236,14 +236,14 @@
 
 // known reports whether a message tells nothing new of its sender's version, as nearly every one
 // does. All it says then is that the sender is there, and confirms the version or not.
-func (r *Runner) known(e Heard) bool {
+func (r *Runner) known(e VersionReceived) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.state
 	if e.Version != s.Version() || s.held[e.Peer] < e.InForce || s.jump != nil || !s.believed(e.Peer) {
 		return false
 	}
-	s.Contact(time.Now(), e)
+	s.RecordMessage(time.Now(), e)
 	r.publish()
 	return true
 }
--- a/internal/distribute/runner_test.go
+++ b/internal/distribute/runner_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := NewRunner(Defaults("self", "dc", Time()), Deps{
+	r := NewRunner(Defaults("self", "dc", TimeProfile()), Deps{
 		Views: new(membership.Views), Platform: downPlatform{}, Store: store, Log: zerolog.Nop(),
 	})
 	t.Cleanup(r.stop)
@@ -126,7 +126,7 @@
 		t.Fatalf("took %s from a bomb", got)
 	}
 	large := *ds[0]
-	large.Note = strings.Repeat("x", Time().PushBytes)
+	large.Note = strings.Repeat("x", TimeProfile().MaxInlineBytes)
 	r.Heard(tell(t, []*config.Delta{&large}))
 	if r.Stamp().Version != ds[0].To {
 		t.Fatal("a change of the size that nodes tell was not used")
--- a/internal/distribute/settings.go
+++ b/internal/distribute/settings.go
@@ -5,36 +5,36 @@
 // Profile weighs convergence time against control bytes.
 type Profile struct {
 	Name string
-	// HeadEvery is how often a feeder reads the platform's head.
-	HeadEvery time.Duration
-	// TellDelay is how long a node collects versions before it tells them.
-	TellDelay time.Duration
+	// HeadInterval is how often a feeder reads the platform's head.
+	HeadInterval time.Duration
+	// PushDelay is how long a node collects versions before it tells them.
+	PushDelay time.Duration
 	// FanOut is how many nodes of its own data centre a node tells.
 	FanOut int
-	// CrossTell lets the first node of each data centre tell those of the
+	// PushAcrossDCs lets the first node of each data centre tell those of the
 	// others too, so that a version does not depend on its origin's links.
-	CrossTell bool
-	// PushBytes is the size up to which changes ride in a tell; zero means
+	PushAcrossDCs bool
+	// MaxInlineBytes is the size up to which changes ride in a tell; zero means
 	// that nodes always pull.
-	PushBytes int
+	MaxInlineBytes int
 	// PullDelay is how long a node that learns of a newer version from a
 	// membership message waits for the tell that is likely on its way.
 	PullDelay time.Duration
 }
 
-// Time returns the profile for meshes that weigh convergence time more.
-func Time() Profile {
+// TimeProfile returns the profile for meshes that weigh convergence time more.
+func TimeProfile() Profile {
 	return Profile{
-		Name: "time", HeadEvery: time.Second, FanOut: 4, CrossTell: true, PushBytes: 4 << 10,
+		Name: "time", HeadInterval: time.Second, FanOut: 4, PushAcrossDCs: true, MaxInlineBytes: 4 << 10,
 		PullDelay: 250 * time.Millisecond,
 	}
 }
 
-// Bytes returns the profile for meshes that weigh control bytes more.
-func Bytes() Profile {
+// BytesProfile returns the profile for meshes that weigh control bytes more.
+func BytesProfile() Profile {
 	return Profile{
-		Name: "bytes", HeadEvery: 3 * time.Second, TellDelay: 500 * time.Millisecond,
-		FanOut: 8, PushBytes: 4 << 10, PullDelay: 3 * time.Second,
+		Name: "bytes", HeadInterval: 3 * time.Second, PushDelay: 500 * time.Millisecond,
+		FanOut: 8, MaxInlineBytes: 4 << 10, PullDelay: 3 * time.Second,
 	}
 }
 
@@ -43,8 +43,8 @@
 	Self       string
 	DataCentre string
 	Profile    Profile
-	// AskPeers is how many peers a starting node asks what it held.
-	AskPeers int
+	// QueryPeers is how many peers a starting node asks what it held.
+	QueryPeers int
 	// AloneAfter is how long a starting node looks for a second witness, or
 	// for as many peers as it wants, before it makes do with one of them. A
 	// node that can ask nobody at all stays not ready, however long.
@@ -59,17 +59,17 @@
 	// RetryBase and RetryCap bound the full-jitter waits between attempts.
 	RetryBase time.Duration
 	RetryCap  time.Duration
-	// Discredit is how long a peer that sent a bad answer is not asked.
-	Discredit time.Duration
+	// BanTime is how long a peer that sent a bad answer is not asked.
+	BanTime time.Duration
 }
 
 // Defaults returns the settings of a node.
 func Defaults(self, dataCentre string, p Profile) Settings {
 	return Settings{
 		Self: self, DataCentre: dataCentre, Profile: p,
-		AskPeers: 3, AloneAfter: 10 * time.Second,
+		QueryPeers: 3, AloneAfter: 10 * time.Second,
 		MaxDeltas: 256, MaxDeltaBytes: 1 << 20, MaxClaims: 16, MaxPeers: 4096,
 		RetryBase: 200 * time.Millisecond, RetryCap: 4 * time.Second,
-		Discredit: time.Minute,
+		BanTime: time.Minute,
 	}
 }
--- a/internal/distribute/silent_test.go
+++ b/internal/distribute/silent_test.go
@@ -11,7 +11,7 @@
 	const nodes, dcs = 48, 2
 	late := 0
 	for seed := range uint64(5) {
-		m := newMesh(nodes, dcs, seed, func(id, dc string) Settings { return Defaults(id, dc, Time()) })
+		m := newMesh(nodes, dcs, seed, func(id, dc string) Settings { return Defaults(id, dc, TimeProfile()) })
 		m.change(nil)
 		m.run(20 * time.Second)
 		m.silent = func(n *node) bool { return n.state.Feeder() }
--- a/internal/distribute/spread_test.go
+++ b/internal/distribute/spread_test.go
@@ -18,7 +18,7 @@
 }
 
 func withoutPush(p Profile) Profile {
-	p.PushBytes = 0
+	p.MaxInlineBytes = 0
 	p.Name += "-pull"
 	return p
 }
@@ -28,7 +28,7 @@
 // second, is reported beside them.
 func BenchmarkSpread(b *testing.B) {
 	for _, n := range []int{12, 36, 108, 240, 1200} {
-		for _, p := range []Profile{Time(), withoutPush(Time()), Bytes(), withoutPush(Bytes())} {
+		for _, p := range []Profile{TimeProfile(), withoutPush(TimeProfile()), BytesProfile(), withoutPush(BytesProfile())} {
 			run(b, fmt.Sprintf("nodes=%d/%s", n, p.Name), scenario{nodes: n, profile: p})
 		}
 	}
@@ -37,8 +37,8 @@
 // BenchmarkTree compares the tree with telling random nodes, and standing in
 // for lost nodes with leaving it to the membership's messages.
 func BenchmarkTree(b *testing.B) {
-	base := scenario{nodes: 240, profile: Time()}
-	lost := scenario{nodes: 240, profile: Time(), lost: 10}
+	base := scenario{nodes: 240, profile: TimeProfile()}
+	lost := scenario{nodes: 240, profile: TimeProfile(), lost: 10}
 	random, randomLost, noStand := base, lost, lost
 	random.random, randomLost.random, noStand.noStand = true, true, true
 	run(b, "tree", base)
@@ -50,7 +50,7 @@
 
 // BenchmarkFanOut compares fan-outs with and without lost nodes.
 func BenchmarkFanOut(b *testing.B) {
-	for _, p := range []Profile{Time(), Bytes()} {
+	for _, p := range []Profile{TimeProfile(), BytesProfile()} {
 		for _, f := range []int{2, 4, 8, 16} {
 			p.FanOut = f
 			run(b, fmt.Sprintf("%s/%d", p.Name, f), scenario{nodes: 1200, profile: p})
@@ -61,7 +61,7 @@
 
 // BenchmarkBurst compares the profiles on ten changes within a second.
 func BenchmarkBurst(b *testing.B) {
-	for _, p := range []Profile{Time(), Bytes()} {
+	for _, p := range []Profile{TimeProfile(), BytesProfile()} {
 		run(b, p.Name, scenario{nodes: 240, profile: p, burst: 10})
 	}
 }
--- a/internal/distribute/state.go
+++ b/internal/distribute/state.go
@@ -63,19 +63,19 @@
 func (s *State) Step(now time.Time, rng *rand.Rand, view *membership.View, ev Event) []Action {
 	s.now, s.rng, s.view, s.out = now, rng, view, nil
 	switch e := ev.(type) {
-	case Ticked:
+	case Tick:
 		s.ticked = true
 	case HeadRead:
 		s.headRead(e)
 	case PlatformRead:
 		s.platformRead(e)
-	case Heard:
+	case VersionReceived:
 		s.heard(e)
 	case Pulled:
 		s.pulled(e)
-	case Asked:
+	case Queried:
 		s.asked(e)
-	case Told:
+	case PushDone:
 		s.told(e)
 	case Accepted:
 		s.accepted(e.Delta)
@@ -117,8 +117,8 @@
 	return a
 }
 
-// Knows reports whether v is certain to be in the history of the version held.
-func (s *State) Knows(v config.Version) bool { return s.chain.relation(v) == relationHeld }
+// InHistory reports whether v is certain to be in the history of the version held.
+func (s *State) InHistory(v config.Version) bool { return s.chain.relation(v) == relationHeld }
 
 // seenAt returns the highest version seen in force at a peer.
 //
--- a/internal/distribute/storm_test.go
+++ b/internal/distribute/storm_test.go
@@ -22,7 +22,7 @@
 }
 
 func storm(b *testing.B, n int, down bool) {
-	m := newMesh(n, measuredDCs, 7, func(id, dc string) Settings { return Defaults(id, dc, Time()) })
+	m := newMesh(n, measuredDCs, 7, func(id, dc string) Settings { return Defaults(id, dc, TimeProfile()) })
 	for range services {
 		m.change(nil)
 	}
--- a/internal/distribute/tell.go
+++ b/internal/distribute/tell.go
@@ -20,7 +20,7 @@
 // maxAdopted bounds the lost nodes that one node stands in for, per version.
 const maxAdopted = 16
 
-// planTell has the versions after from told once TellDelay has passed.
+// planTell has the versions after from told once PushDelay has passed.
 func (s *State) planTell(from config.Version, origin bool) {
 	t := &s.tell
 	t.origin = t.origin || origin
@@ -29,7 +29,7 @@
 	}
 	t.due = true
 	t.from = from
-	t.at = s.now.Add(s.set.Profile.TellDelay)
+	t.at = s.now.Add(s.set.Profile.PushDelay)
 }
 
 func (s *State) scheduleTell() {
@@ -41,14 +41,14 @@
 	t.version = s.Version()
 	t.deltas = s.pushable(t.from)
 	t.adopted = make(map[string]bool)
-	peers := newTree(&s.set, s.view, t.version).targets(t.origin, s.set.Profile.CrossTell)
+	peers := newTree(&s.set, s.view, t.version).targets(t.origin, s.set.Profile.PushAcrossDCs)
 	t.origin = false
 	s.emitTell(peers)
 }
 
 func (s *State) emitTell(peers []string) {
 	if len(peers) > 0 {
-		s.emit(Tell{Peers: peers, Version: s.tell.version, Deltas: s.tell.deltas})
+		s.emit(Push{Peers: peers, Version: s.tell.version, Deltas: s.tell.deltas})
 	}
 }
 
@@ -62,7 +62,7 @@
 	for _, d := range ds {
 		size += deltaSize(d)
 	}
-	if size > s.set.Profile.PushBytes {
+	if size > s.set.Profile.MaxInlineBytes {
 		return nil
 	}
 	return ds
@@ -71,7 +71,7 @@
 // told stands in for a node that could not be reached. Without that, the loss
 // of one node near the top of the tree would leave its whole branch to learn
 // of the version from membership messages, seconds later.
-func (s *State) told(e Told) {
+func (s *State) told(e PushDone) {
 	t := &s.tell
 	if e.Err == nil || e.Version != t.version || t.adopted[e.Peer] || len(t.adopted) >= maxAdopted {
 		return
--- a/internal/distribute/tellers_test.go
+++ b/internal/distribute/tellers_test.go
@@ -20,20 +20,20 @@
 		}
 		asked, most := make(map[string]int), make(map[string]int)
 		for id := range v.Records {
-			place := PlaceOf(v, id, "dc")
-			tellers, askers := place.Tellers, place.Askers
-			if Feeds(v, id, "dc") != (len(tellers) == 0) {
-				t.Errorf("%d nodes: %s has the tellers %v, feeds: %v", n, id, tellers, Feeds(v, id, "dc"))
+			place := PositionOf(v, id, "dc")
+			tellers, askers := place.Parents, place.MaxQueriers
+			if IsFeeder(v, id, "dc") != (len(tellers) == 0) {
+				t.Errorf("%d nodes: %s has the tellers %v, feeds: %v", n, id, tellers, IsFeeder(v, id, "dc"))
 			}
 			if len(tellers) == 0 {
 				continue
 			}
-			if above := PlaceOf(v, tellers[0], "dc"); place.Depth != above.Depth+1 {
+			if above := PositionOf(v, tellers[0], "dc"); place.Depth != above.Depth+1 {
 				t.Errorf("%d nodes: %s is %d tells deep, %s above it %d", n, id, place.Depth, tellers[0], above.Depth)
 			}
 			asked[tellers[0]]++
 			most[tellers[0]] = max(most[tellers[0]], askers)
-			if !slices.Contains(ToTell(v, tellers[0], "dc"), id) {
+			if !slices.Contains(PushTargets(v, tellers[0], "dc"), id) {
 				t.Errorf("%d nodes: %s asks %s, which doesn't tell it", n, id, tellers[0])
 			}
 			if len(tellers) != 2 || tellers[0] == tellers[1] || slices.Contains(tellers, id) {
--- a/internal/distribute/unconfirming_test.go
+++ b/internal/distribute/unconfirming_test.go
@@ -99,8 +99,8 @@
 			t.Fatalf("%v after %T, want %T", got, ev, want)
 		}
 	}
-	step(inForceWithin, Ticked{}, ReadHead{})
+	step(inForceWithin, Tick{}, ReadHead{})
 	step(0, HeadRead{Version: ds[1].To}, ReadSince{ds[0].To})
 	s.Step(now, rng, view, PlatformRead{Err: errLost})
-	step(s.set.RetryCap, Ticked{}, ReadHead{})
+	step(s.set.RetryCap, Tick{}, ReadHead{})
 }
--- a/internal/distribute/wire.go
+++ b/internal/distribute/wire.go
@@ -19,7 +19,7 @@
 	maxUnpacked = 32 << 20
 	// maxTold bounds the same for changes that a peer tells unasked. A node
 	// pulls from one peer at a time, but hears any number at once. Nodes tell
-	// no more than Profile.PushBytes, some kilobytes.
+	// no more than Profile.MaxInlineBytes, some kilobytes.
 	maxTold = 256 << 10
 )
 
@@ -67,9 +67,9 @@
 	return unpack(p, decoder, maxUnpacked)
 }
 
-// UnpackTold is Unpack for changes that a peer sent unasked, with a lower bound on
+// UnpackPushed is Unpack for changes that a peer sent unasked, with a lower bound on
 // their size.
-func UnpackTold(p *peerpb.Packed) ([]*config.Delta, error) {
+func UnpackPushed(p *peerpb.Packed) ([]*config.Delta, error) {
 	ds, _, err := unpackTold(p)
 	return ds, err
 }
--- a/internal/follow/assurance.go
+++ b/internal/follow/assurance.go
@@ -29,7 +29,7 @@
 
 // assureIn returns when this node has to ask for an assurance, so that one that it passes on is
 // young enough for the nodes below it in a tree.
-func (s *State) assureIn(boot time.Duration, place distribute.Place) time.Duration {
+func (s *State) assureIn(boot time.Duration, place distribute.Position) time.Duration {
 	age, known := s.AssuredAge(boot)
 	if !known {
 		return 0
--- a/internal/follow/contact.go
+++ b/internal/follow/contact.go
@@ -58,9 +58,9 @@
 }
 
 // placeIn returns the place of this node in a view.
-func (s *State) placeIn(view *membership.View) distribute.Place {
+func (s *State) placeIn(view *membership.View) distribute.Position {
 	if s.placed != view || view == nil {
-		s.placed, s.place = view, distribute.PlaceOf(view, s.set.Self, s.set.DataCentre)
+		s.placed, s.place = view, distribute.PositionOf(view, s.set.Self, s.set.DataCentre)
 		s.leads, s.reader = false, false
 		if s.place.Depth == 0 {
 			s.placeFeeder(distribute.Readers(view, s.set.Self, s.set.DataCentre))
@@ -77,9 +77,9 @@
 	switch {
 	case s.leads:
 	case s.place.Rank == 0:
-		s.place.Tellers = readers[:1]
+		s.place.Parents = readers[:1]
 	default:
-		s.place.Tellers = s.place.Feeders[:1]
+		s.place.Parents = s.place.Feeders[:1]
 	}
 }
 
@@ -96,7 +96,7 @@
 	if reader, due := s.askReader(boot, view); due {
 		return reader, true
 	}
-	tellers := s.placeIn(view).Tellers
+	tellers := s.placeIn(view).Parents
 	if len(tellers) == 0 {
 		return "", false
 	}
@@ -112,7 +112,7 @@
 // asks reports whether this node depends on others that it can ask. The reader that leads does
 // for assurances alone, where the source leaves it without an answer.
 func (s *State) asks(view *membership.View) bool {
-	return s.fed() && (len(s.placeIn(view).Tellers) > 0 || s.set.AssureWithin > 0)
+	return s.fed() && (len(s.placeIn(view).Parents) > 0 || s.set.AssureWithin > 0)
 }
 
 // AskIn returns when to ask again. Where one did not confirm the version the next is asked at once.
@@ -125,7 +125,7 @@
 		return 0
 	case c.lost:
 		return c.nextAsk.Sub(now)
-	case len(s.placeIn(view).Tellers) == 0:
+	case len(s.placeIn(view).Parents) == 0:
 		return s.askReaderIn(now, boot, view)
 	}
 	age, _ := s.ConfirmedAge(now)
@@ -147,7 +147,7 @@
 
 // confirmedWithin is the age that the confirmation of a teller has at most while the source
 // answers: of a feeder, or of a node above this one in a tree.
-func (s *State) confirmedWithin(place distribute.Place, teller int) time.Duration {
+func (s *State) confirmedWithin(place distribute.Position, teller int) time.Duration {
 	if place.Depth < 2 || teller > 0 {
 		return s.set.staleAfter()
 	}
@@ -161,7 +161,7 @@
 // this, or has it again.
 func (s *State) Answered(now time.Time, teller string, a Answer, view *membership.View) (lost, regained bool) {
 	place := s.placeIn(view)
-	if a.Known && a.Age > s.confirmedWithin(place, slices.Index(place.Tellers, teller)) {
+	if a.Known && a.Age > s.confirmedWithin(place, slices.Index(place.Parents, teller)) {
 		return s.Missed(now, teller, view), false
 	}
 	c := &s.contact
@@ -185,12 +185,12 @@
 // whether it was the last of them.
 func (s *State) Missed(now time.Time, teller string, view *membership.View) (lost bool) {
 	c := &s.contact
-	if len(s.placeIn(view).Tellers) == 0 {
+	if len(s.placeIn(view).Parents) == 0 {
 		c.nextAsk = now.Add(askEvery)
 		return false
 	}
 	c.missed = append(c.missed, teller)
-	for _, id := range s.placeIn(view).Tellers {
+	for _, id := range s.placeIn(view).Parents {
 		if !slices.Contains(c.missed, id) {
 			return false
 		}
--- a/internal/follow/contact_test.go
+++ b/internal/follow/contact_test.go
@@ -95,7 +95,7 @@
 	for id := range f.view.Records {
 		switch {
 		case id == "me":
-		case distribute.Feeds(f.view, id, "dc"):
+		case distribute.IsFeeder(f.view, id, "dc"):
 			feeders = append(feeders, id)
 		default:
 			others = append(others, id)
@@ -138,8 +138,8 @@
 	}
 }
 
-// Tell implements distribute.Client. What this node tells changes nothing.
-func (f *feederless) Tell(context.Context, string, *peerpb.Packed) error { return nil }
+// Push implements distribute.Client. What this node tells changes nothing.
+func (f *feederless) Push(context.Context, string, *peerpb.Packed) error { return nil }
 
 // Pull implements distribute.Client.
 func (f *feederless) Pull(ctx context.Context, to, _ string, q *peerpb.PullRequest) (*peerpb.PullResponse, error) {
--- a/internal/follow/mesh_test.go
+++ b/internal/follow/mesh_test.go
@@ -295,8 +295,8 @@
 	return peer.runner, nil
 }
 
-// Tell implements distribute.Client.
-func (n *meshNode) Tell(ctx context.Context, addr string, changes *peerpb.Packed) error {
+// Push implements distribute.Client.
+func (n *meshNode) Push(ctx context.Context, addr string, changes *peerpb.Packed) error {
 	peer, err := n.to(ctx, addr)
 	if err != nil {
 		return err
@@ -335,7 +335,7 @@
 	if _, _, err = distribute.Unpack(packed); err != nil {
 		t.Fatal(err)
 	}
-	if _, err = distribute.UnpackTold(packed); err != nil {
+	if _, err = distribute.UnpackPushed(packed); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/follow/runner.go
+++ b/internal/follow/runner.go
@@ -134,9 +134,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	age, reader := r.state.ConfirmedAge(now)
-	c := &peerpb.Confirmation{AgeMs: distribute.WholeMilliseconds(age), Reader: reader}
+	c := &peerpb.Confirmation{AgeMs: distribute.CeilMilliseconds(age), Reader: reader}
 	if age, known := r.state.AssuredAge(boot); known && r.set.AssureWithin > 0 {
-		ms := distribute.WholeMilliseconds(age)
+		ms := distribute.CeilMilliseconds(age)
 		c.AssuredAgeMs = &ms
 	}
 	return c
--- a/internal/follow/silent_test.go
+++ b/internal/follow/silent_test.go
@@ -86,7 +86,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, n := range m.nodes {
-		if !distribute.Feeds(n.views.Load(), n.id, n.runner.set.DataCentre) {
+		if !distribute.IsFeeder(n.views.Load(), n.id, n.runner.set.DataCentre) {
 			asked += n.asked
 		}
 	}
--- a/internal/follow/start_test.go
+++ b/internal/follow/start_test.go
@@ -24,7 +24,7 @@
 	var ids []string
 	for i := range 1000 {
 		ids = append(ids, fmt.Sprint("n", i))
-		if v := view(ids...); !distribute.Feeds(v, "me", "dc") {
+		if v := view(ids...); !distribute.IsFeeder(v, "me", "dc") {
 			return v
 		}
 	}
--- a/internal/follow/state.go
+++ b/internal/follow/state.go
@@ -109,7 +109,7 @@
 	assured   bool
 	assuredAt time.Duration
 	// place is the node's in the view placed.
-	place  distribute.Place
+	place  distribute.Position
 	placed *membership.View
 	// leads says that the feeders of all data centres depend on this node's reading, and reader
 	// that it reads the source while that answers.
--- a/internal/follow/tell.go
+++ b/internal/follow/tell.go
@@ -34,8 +34,8 @@
 		return
 	}
 	view := r.deps.Views.Load()
-	r.tellAll(view, distribute.ToMention(view, r.set.Self, r.set.DataCentre), nil)
-	peers := distribute.ToTell(view, r.set.Self, r.set.DataCentre)
+	r.tellAll(view, distribute.CrossDCTargets(view, r.set.Self, r.set.DataCentre), nil)
+	peers := distribute.PushTargets(view, r.set.Self, r.set.DataCentre)
 	if from == fromSource {
 		peers = r.withFeeders(peers, view)
 	}
@@ -87,7 +87,7 @@
 		return
 	}
 	defer r.tells.Release(1)
-	if err := r.deps.Client.Tell(ctx, addr, packed); err != nil {
+	if err := r.deps.Client.Push(ctx, addr, packed); err != nil {
 		r.missed(FindingNotTold, peer, err, "follow: a peer was not told of a version")
 	}
 }
@@ -95,7 +95,7 @@
 // told puts the version of a tell in force, if what came with it leads there from
 // the version held.
 func (r *Runner) told(e *peerpb.Envelope) bool {
-	ds, err := distribute.UnpackTold(e.Changes)
+	ds, err := distribute.UnpackPushed(e.Changes)
 	if err != nil || len(ds) != 1 {
 		return false
 	}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -166,9 +166,9 @@
 		})
 		return
 	}
-	profile := distribute.Time()
+	profile := distribute.TimeProfile()
 	if n.set.Profile == settings.ProfileBytes {
-		profile = distribute.Bytes()
+		profile = distribute.BytesProfile()
 	}
 	set := distribute.Defaults(n.self.ID, n.self.DataCentre, profile)
 	if d := n.set.Peers.AloneAfter.Duration; d > 0 {
--- a/internal/node/workspaces.go
+++ b/internal/node/workspaces.go
@@ -214,7 +214,7 @@
 // tell tells the first feeder of the data centre that answers.
 func (w *workspaces) tell(ctx context.Context, usage []quota.Usage) ([]quota.Part, bool) {
 	view := w.n.views.Load()
-	for _, id := range distribute.PlaceOf(view, w.n.self.ID, w.n.self.DataCentre).Feeders {
+	for _, id := range distribute.PositionOf(view, w.n.self.ID, w.n.self.DataCentre).Feeders {
 		if id == w.n.self.ID {
 			return w.decide(func(now time.Time) {
 				w.collector.Node(now, id, w.n.self.Incarnation, usage)
@@ -321,7 +321,7 @@
 func (w *workspaces) collectors(view *membership.View) []string {
 	self := w.n.self
 	out := distribute.FirstFeeders(view, self.ID, self.DataCentre)
-	for _, id := range distribute.PlaceOf(view, self.ID, self.DataCentre).Feeders {
+	for _, id := range distribute.PositionOf(view, self.ID, self.DataCentre).Feeders {
 		if id != self.ID {
 			out = append(out, id)
 		}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -175,8 +175,8 @@
 	return answer.Membership, nil
 }
 
-// Tell tells this node's version, with the changes that led to it if given.
-func (c *Client) Tell(ctx context.Context, addr string, changes *peerpb.Packed) error {
+// Push tells this node's version, with the changes that led to it if given.
+func (c *Client) Push(ctx context.Context, addr string, changes *peerpb.Packed) error {
 	e := c.envelope()
 	e.Changes = changes
 	_, err := c.exchange(ctx, kindTell, addr, e)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -138,7 +138,7 @@
 	if _, err := c.Exchange(ctx, s.addr, &peerpb.Membership{}); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Tell(ctx, s.addr, &peerpb.Packed{Data: []byte("x")}); err != nil {
+	if err := c.Push(ctx, s.addr, &peerpb.Packed{Data: []byte("x")}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Pull(ctx, "b", s.addr, &peerpb.PullRequest{}); err != nil {
--- a/internal/peer/runner_test.go
+++ b/internal/peer/runner_test.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r = distribute.NewRunner(distribute.Defaults(vm, "neg-shed", distribute.Time()), distribute.Deps{
+	r = distribute.NewRunner(distribute.Defaults(vm, "neg-shed", distribute.TimeProfile()), distribute.Deps{
 		Views: views, Platform: p, Client: c, Store: store, Log: zerolog.Nop(),
 	})
 	s := peer.NewServer(peer.ServerConfig{
