--- a/internal/agenda/agenda.go
+++ b/internal/agenda/agenda.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Agenda is a list of events. What stands for the same moment happens in the order in which
-// it was put there, so that a run with the same seed gives the same figures. The zero Agenda
+// EventQueue is a list of events. What stands for the same moment happens in the order in which
+// it was put there, so that a run with the same seed gives the same figures. The zero EventQueue
 // is empty. It is not safe for concurrent use.
-type Agenda struct {
+type EventQueue struct {
 	events events
 	added  uint64
 }
@@ -21,14 +21,14 @@
 	do    func(now time.Time)
 }
 
-// At puts do on the agenda.
-func (a *Agenda) At(t time.Time, do func(now time.Time)) {
+// Schedule puts do on the agenda.
+func (a *EventQueue) Schedule(t time.Time, do func(now time.Time)) {
 	a.added++
 	heap.Push(&a.events, event{t, a.added, do})
 }
 
 // Next takes the next event off, if it comes by end.
-func (a *Agenda) Next(end time.Time) (at time.Time, do func(now time.Time), ok bool) {
+func (a *EventQueue) Next(end time.Time) (at time.Time, do func(now time.Time), ok bool) {
 	if len(a.events) == 0 || a.events[0].at.After(end) {
 		return time.Time{}, nil, false
 	}
@@ -37,7 +37,7 @@
 }
 
 // Run runs all events, with those that they add.
-func (a *Agenda) Run() {
+func (a *EventQueue) Run() {
 	for len(a.events) > 0 {
 		e := heap.Pop(&a.events).(event)
 		e.do(e.at)
--- a/internal/agenda/agenda_test.go
+++ b/internal/agenda/agenda_test.go
@@ -8,14 +8,14 @@
 
 func TestOrder(t *testing.T) {
 	start := time.Unix(0, 0)
-	var a Agenda
+	var a EventQueue
 	var got []string
 	note := func(s string) func(time.Time) { return func(time.Time) { got = append(got, s) } }
-	a.At(start.Add(2), note("late"))
-	a.At(start.Add(1), note("first"))
-	a.At(start.Add(1), func(now time.Time) {
+	a.Schedule(start.Add(2), note("late"))
+	a.Schedule(start.Add(1), note("first"))
+	a.Schedule(start.Add(1), func(now time.Time) {
 		note("second")(now)
-		a.At(now, note("third"))
+		a.Schedule(now, note("third"))
 	})
 	if _, _, ok := a.Next(start); ok {
 		t.Fatal("an event came before its time")
--- a/internal/distribute/harness_test.go
+++ b/internal/distribute/harness_test.go
@@ -27,7 +27,7 @@
 	set     func(id, dc string) Settings
 	now     time.Time
 	rng     *rand.Rand
-	queue   agenda.Agenda
+	queue   agenda.EventQueue
 	nodes   map[string]*node
 	ids     []string
 	view    *membership.View
@@ -89,7 +89,7 @@
 }
 
 func (m *mesh) after(d time.Duration, f func()) {
-	m.queue.At(m.now.Add(d), func(time.Time) { f() })
+	m.queue.Schedule(m.now.Add(d), func(time.Time) { f() })
 }
 
 func (m *mesh) run(d time.Duration) {
--- a/internal/drain/calls.go
+++ b/internal/drain/calls.go
@@ -26,8 +26,8 @@
 	started  atomic.Uint64
 }
 
-// Leave asks clients to go elsewhere: each answer from now on ends its connection.
-func (c *Calls) Leave() { c.leaving.Store(true) }
+// StartDraining asks clients to go elsewhere: each answer from now on ends its connection.
+func (c *Calls) StartDraining() { c.leaving.Store(true) }
 
 // InFlight returns how many calls are in the process's hands.
 func (c *Calls) InFlight() int64 { return c.inFlight.Load() }
@@ -35,8 +35,8 @@
 // Started returns how many calls have come since the start of the process.
 func (c *Calls) Started() uint64 { return c.started.Load() }
 
-// UnreadBody is how long the rest of a body that nobody read may take to come.
-const UnreadBody = 5 * time.Second
+// UnreadBodyTimeout is how long the rest of a body that nobody read may take to come.
+const UnreadBodyTimeout = 5 * time.Second
 
 var closeConnection = []string{"close"}
 
@@ -64,7 +64,7 @@
 func boundUnread(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength != 0 {
 		// An error means that the connection is gone already.
-		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(UnreadBody))
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(UnreadBodyTimeout))
 	}
 }
 
--- a/internal/drain/calls_test.go
+++ b/internal/drain/calls_test.go
@@ -105,6 +105,6 @@
 		if got := w.Header().Get("Connection"); got != want {
 			t.Errorf("Connection %q, want %q", got, want)
 		}
-		c.Leave()
+		c.StartDraining()
 	}
 }
--- a/internal/drain/servers.go
+++ b/internal/drain/servers.go
@@ -27,7 +27,7 @@
 // are left is answered, each answer ending its connection; and only once nothing comes any more are
 // the silent ones closed.
 func (s *Servers) Shutdown(ctx context.Context) error {
-	s.Calls.Leave()
+	s.Calls.StartDraining()
 	if err := s.Calls.waitIdle(ctx); err != nil {
 		return err
 	}
--- a/internal/limit/sim_test.go
+++ b/internal/limit/sim_test.go
@@ -92,7 +92,7 @@
 type simRun struct {
 	simulation
 	rand   *rand.Rand
-	agenda agenda.Agenda
+	agenda agenda.EventQueue
 	queue  *Queue
 	owners map[*Entry]*simCall
 	out    simResult
@@ -130,7 +130,7 @@
 	return r.out
 }
 
-func (r *simRun) at(t time.Time, do func(time.Time)) { r.agenda.At(t, do) }
+func (r *simRun) at(t time.Time, do func(time.Time)) { r.agenda.Schedule(t, do) }
 
 // arrivals schedules Poisson arrivals of a class, each scheduling the next.
 func (r *simRun) arrivals(c *simClass) {
--- a/internal/membership/mesh_test.go
+++ b/internal/membership/mesh_test.go
@@ -31,7 +31,7 @@
 	rnd    *rand.Rand
 	nodes  []*vm
 	byAddr map[string]*vm
-	events agenda.Agenda
+	events agenda.EventQueue
 
 	loss, double float64
 	delayMax     time.Duration
@@ -116,7 +116,7 @@
 }
 
 func (w *mesh) at(t time.Time, run func()) {
-	w.events.At(t, func(time.Time) { run() })
+	w.events.Schedule(t, func(time.Time) { run() })
 }
 
 func (w *mesh) after(d time.Duration, run func()) { w.at(w.now.Add(d), run) }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -114,7 +114,7 @@
 	c.peers, err = peer.NewClient(peer.ClientConfig{
 		Mesh: n.set.Mesh, VM: n.self.ID, TLS: c.trust.client(),
 		Limits: peer.DefaultLimits(), Metrics: c.peerSum, Dial: c.n.o.Dial,
-		Sender: c.sender, Heard: c.Heard,
+		Sender: c.sender, OnEnvelope: c.Heard,
 	})
 	if err != nil {
 		return err
@@ -133,7 +133,7 @@
 	c.server = peer.NewServer(peer.ServerConfig{
 		Mesh: n.set.Mesh, VM: n.self.ID, TLS: c.trust.server(),
 		Limits: peer.DefaultLimits(), Metrics: c.peerSum, Log: telemetry.Part(n.log, "peer"),
-		Sender: c.sender, Membership: c.members, Spread: c, Submitter: peerCommands{c}, Alerts: alerts{n}, Reporter: n.reports, Rollouts: n.rollouts, Collector: n.workspaces,
+		Sender: c.sender, Membership: c.members, Distributor: c, Submitter: peerCommands{c}, Alerts: alerts{n}, Reporter: n.reports, Rollouts: n.rollouts, Collector: n.workspaces,
 	})
 	return nil
 }
@@ -198,9 +198,9 @@
 }
 
 // sender is what every message of this node carries.
-func (c *control) sender() peer.Sender {
+func (c *control) sender() peer.SenderInfo {
 	s := c.spread.Stamp()
-	return peer.Sender{Incarnation: c.n.self.Incarnation, Version: s.Version, Behind: s.Behind, Confirmed: s.Confirmed}
+	return peer.SenderInfo{Incarnation: c.n.self.Incarnation, Version: s.Version, Behind: s.Behind, Confirmed: s.Confirmed}
 }
 
 // start serves the peers and starts the work of control.
--- a/internal/node/inflight_test.go
+++ b/internal/node/inflight_test.go
@@ -27,11 +27,11 @@
 			t.Fatal(err)
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil || resp.StatusCode != http.StatusUnauthorized || time.Since(start) > drain.UnreadBody {
+		if err != nil || resp.StatusCode != http.StatusUnauthorized || time.Since(start) > drain.UnreadBodyTimeout {
 			t.Fatalf("after %s: %v, %v", time.Since(start), resp, err)
 		}
 		_, _ = io.Copy(io.Discard, conn)
-		if got := time.Since(start); got > 2*drain.UnreadBody {
+		if got := time.Since(start); got > 2*drain.UnreadBodyTimeout {
 			t.Errorf("kept for %s", got)
 		}
 	})
@@ -50,13 +50,13 @@
 				if _, err := io.WriteString(conn, part); err != nil {
 					t.Fatal(err)
 				}
-				time.Sleep(drain.UnreadBody / 2)
+				time.Sleep(drain.UnreadBodyTimeout / 2)
 			}
 			resp, err := http.ReadResponse(answers, nil)
 			if err != nil || resp.Close {
 				t.Fatalf("got %v, %v", resp, err)
 			}
-			time.Sleep(10 * drain.UnreadBody) // idle
+			time.Sleep(10 * drain.UnreadBodyTimeout) // idle
 		}
 	})
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -15,13 +15,13 @@
 	"github.com/marlpass/marlpass/internal/telemetry"
 )
 
-// Heard implements peer.Spread, and takes what answers tell.
+// Heard implements peer.Distributor, and takes what answers tell.
 func (c *control) Heard(e *peerpb.Envelope) {
 	c.heardAt.Store(time.Now().UnixMilli())
 	c.spread.Heard(e)
 }
 
-// ServePull implements peer.Spread.
+// ServePull implements peer.Distributor.
 func (c *control) ServePull(q *peerpb.PullRequest) (*peerpb.PullResponse, error) {
 	return c.spread.ServePull(q)
 }
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -166,7 +166,7 @@
 
 // leave asks clients to go elsewhere: each answer from now on ends its
 // connection.
-func (s *servers) leave() { s.calls.Leave() }
+func (s *servers) leave() { s.calls.StartDraining() }
 
 // giveUpFor is how long answers may take to go out once the calls in flight were
 // given up: some ways to the farthest data centre and back. It fits into what a stop
--- a/internal/node/workspaces.go
+++ b/internal/node/workspaces.go
@@ -95,7 +95,7 @@
 // GiveBack implements proxy.Workspaces.
 func (w *workspaces) GiveBack(_ time.Time, ws *config.Workspace) {
 	if ws.RatePerSecond > 0 {
-		w.limiter.GiveBack(ws.Name)
+		w.limiter.Refund(ws.Name)
 	}
 }
 
@@ -110,7 +110,7 @@
 		return q.limits
 	}
 	set := w.n.set.Workspaces
-	terms := quota.Terms{Window: set.QuotaWindow.Duration, Overage: set.QuotaOverage, Slack: set.QuotaSlack}
+	terms := quota.Policy{Window: set.QuotaWindow.Duration, Overage: set.QuotaOverage, Slack: set.QuotaSlack}
 	out := make(map[string]quota.Limit)
 	for _, ws := range snapshot.Workspaces() {
 		if ws.RatePerSecond > 0 {
@@ -127,7 +127,7 @@
 	called   time.Time // when a workspace last had calls
 	answered time.Time // when a collector last answered, zero if none has
 	last     []quota.Usage
-	alone    bool // no collector has answered for quota.AloneAfter
+	alone    bool // no collector has answered for quota.FallbackAfter
 	sent     time.Time
 }
 
@@ -155,13 +155,13 @@
 	select {
 	case <-ctx.Done():
 	case <-r.w.limiter.Surge():
-		_ = wait.For(ctx, quota.SurgeGap-time.Since(r.sent))
+		_ = wait.For(ctx, quota.MinReportInterval-time.Since(r.sent))
 	case <-due:
 	}
 }
 
 // rests reports whether no workspace has had calls for a while.
-func (r *usageReports) rests(now time.Time) bool { return now.Sub(r.called) > quota.RestAfter }
+func (r *usageReports) rests(now time.Time) bool { return now.Sub(r.called) > quota.IdleAfter }
 
 // reportEvery is the time between two reports of this node.
 func (w *workspaces) reportEvery() time.Duration {
@@ -171,7 +171,7 @@
 			nodes++
 		}
 	}
-	return max(quota.ReportEvery, time.Duration(nodes)*reportPerNode)
+	return max(quota.ReportInterval, time.Duration(nodes)*reportPerNode)
 }
 
 // once makes one report.
@@ -180,11 +180,11 @@
 	span := now.Sub(r.sent)
 	usage := r.w.limiter.Report(now)
 	r.sent = now
-	if slices.ContainsFunc(usage, func(u quota.Usage) bool { return u.Recent > 0 }) {
+	if slices.ContainsFunc(usage, func(u quota.Usage) bool { return u.RecentRate > 0 }) {
 		r.called = now
 	}
 	if r.rests(now) {
-		r.w.limiter.Rest()
+		r.w.limiter.ReportNextCall()
 		return
 	}
 	parts, ok := r.w.tell(ctx, usage)
@@ -202,22 +202,22 @@
 
 func (r *usageReports) unanswered(now time.Time, span time.Duration) {
 	since := now.Sub(r.answered)
-	if !r.alone && since >= quota.AloneAfter {
+	if !r.alone && since >= quota.FallbackAfter {
 		r.alone = true
 		r.w.log.Warn().Msg("workspaces: no collector of the quotas answers, calls pass by this node's own part")
 	}
-	r.w.limiter.Unanswered(quota.Unanswered{
-		Span: span, Since: since, Nodes: len(r.w.n.views.Load().Records), Limits: r.w.limits(), Answered: r.last,
+	r.w.limiter.ApplyFallback(quota.Fallback{
+		SinceReport: span, SinceAnswer: since, Nodes: len(r.w.n.views.Load().Records), Limits: r.w.limits(), LastAnswered: r.last,
 	})
 }
 
 // tell tells the first feeder of the data centre that answers.
-func (w *workspaces) tell(ctx context.Context, usage []quota.Usage) ([]quota.Part, bool) {
+func (w *workspaces) tell(ctx context.Context, usage []quota.Usage) ([]quota.Admission, bool) {
 	view := w.n.views.Load()
 	for _, id := range distribute.PlaceOf(view, w.n.self.ID, w.n.self.DataCentre).Feeders {
 		if id == w.n.self.ID {
 			return w.decide(func(now time.Time) {
-				w.collector.Node(now, id, w.n.self.Incarnation, usage)
+				w.collector.AddNodeReport(now, id, w.n.self.Incarnation, usage)
 			}), true
 		}
 		parts, err := w.send(ctx, view.Records[id], usage, false)
@@ -229,7 +229,7 @@
 	return nil, false
 }
 
-func (w *workspaces) send(ctx context.Context, to *membership.Seen, usage []quota.Usage, summed bool) ([]quota.Part, error) {
+func (w *workspaces) send(ctx context.Context, to *membership.Seen, usage []quota.Usage, summed bool) ([]quota.Admission, error) {
 	ctx, cancel := context.WithTimeout(ctx, usageBound)
 	defer cancel()
 	parts, err := w.n.control.peers.Usage(ctx, to.VM.ID, to.VM.ControlAddr, &peerpb.UsageRequest{
@@ -239,7 +239,7 @@
 }
 
 // decide takes a report in, and returns what may pass.
-func (w *workspaces) decide(report func(now time.Time)) []quota.Part {
+func (w *workspaces) decide(report func(now time.Time)) []quota.Admission {
 	limits := w.limits()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -256,11 +256,11 @@
 
 // logLimited tells of workspaces that begin to be over their quota, and of those that have not
 // been for a while. The caller holds w.mu.
-func (w *workspaces) logLimited(now time.Time, parts []quota.Part, limits map[string]quota.Limit) {
+func (w *workspaces) logLimited(now time.Time, parts []quota.Admission, limits map[string]quota.Limit) {
 	for _, p := range parts {
 		if _, known := w.limited[p.Workspace]; !known {
-			w.log.Info().Str("workspace", p.Workspace).Float64("part", p.Part).
-				Float64("asked_per_s", w.collector.Asked(p.Workspace)).Float64("limit_per_s", limits[p.Workspace].Rate).
+			w.log.Info().Str("workspace", p.Workspace).Float64("part", p.Ratio).
+				Float64("asked_per_s", w.collector.DemandRate(p.Workspace)).Float64("limit_per_s", limits[p.Workspace].Rate).
 				Msg("workspaces: a workspace is over its quota")
 		}
 		w.limited[p.Workspace] = now
@@ -278,10 +278,10 @@
 	usage := decodeUsage(q.Usage)
 	return encodeParts(w.decide(func(now time.Time) {
 		if q.Summed {
-			w.collector.Sum(now, q.From, q.Incarnation, usage)
+			w.collector.AddCollectorReport(now, q.From, q.Incarnation, usage)
 			return
 		}
-		w.collector.Node(now, q.From, q.Incarnation, usage)
+		w.collector.AddNodeReport(now, q.From, q.Incarnation, usage)
 	}))
 }
 
@@ -293,12 +293,12 @@
 			return
 		case <-w.collecting:
 		}
-		if wait.For(ctx, quota.ExchangeEvery) != nil {
+		if wait.For(ctx, quota.ExchangeInterval) != nil {
 			return
 		}
 		w.mu.Lock()
-		collects := w.collector.Nodes() > 0
-		sums := w.collector.Sums()
+		collects := w.collector.NodeCount() > 0
+		sums := w.collector.NodeTotals()
 		w.mu.Unlock()
 		if !collects {
 			continue // others tell this node of sums only
--- a/internal/node/workspaces_wire.go
+++ b/internal/node/workspaces_wire.go
@@ -12,7 +12,7 @@
 	out := make([]*peerpb.WorkspaceUsage, len(list))
 	for i, u := range list {
 		out[i] = &peerpb.WorkspaceUsage{
-			Workspace: u.Workspace, Recent: u.Recent, Usual: u.Usual, Admitted: uint64(max(u.Admitted, 0)),
+			Workspace: u.Workspace, Recent: u.RecentRate, Usual: u.AverageRate, Admitted: uint64(max(u.Admitted, 0)),
 		}
 	}
 	return out
@@ -22,7 +22,7 @@
 	out := make([]quota.Usage, len(list))
 	for i, u := range list {
 		out[i] = quota.Usage{
-			Workspace: u.GetWorkspace(), Recent: rateOf(u.GetRecent()), Usual: rateOf(u.GetUsual()),
+			Workspace: u.GetWorkspace(), RecentRate: rateOf(u.GetRecent()), AverageRate: rateOf(u.GetUsual()),
 			Admitted: int64(min(u.GetAdmitted(), math.MaxInt64)),
 		}
 	}
@@ -37,18 +37,18 @@
 	return min(v, config.MaxRatePerSecond)
 }
 
-func encodeParts(list []quota.Part) []*peerpb.WorkspacePart {
+func encodeParts(list []quota.Admission) []*peerpb.WorkspacePart {
 	out := make([]*peerpb.WorkspacePart, len(list))
 	for i, p := range list {
-		out[i] = &peerpb.WorkspacePart{Workspace: p.Workspace, Part: p.Part}
+		out[i] = &peerpb.WorkspacePart{Workspace: p.Workspace, Part: p.Ratio}
 	}
 	return out
 }
 
-func decodeParts(list []*peerpb.WorkspacePart) []quota.Part {
-	out := make([]quota.Part, len(list))
+func decodeParts(list []*peerpb.WorkspacePart) []quota.Admission {
+	out := make([]quota.Admission, len(list))
 	for i, p := range list {
-		out[i] = quota.Part{Workspace: p.GetWorkspace(), Part: min(rateOf(p.GetPart()), 1)}
+		out[i] = quota.Admission{Workspace: p.GetWorkspace(), Ratio: min(rateOf(p.GetPart()), 1)}
 	}
 	return out
 }
--- a/internal/node/workspaces_wire_test.go
+++ b/internal/node/workspaces_wire_test.go
@@ -13,8 +13,8 @@
 	for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 1e300} {
 		u := decodeUsage([]*peerpb.WorkspaceUsage{{Workspace: "w", Recent: v, Usual: v, Admitted: math.MaxUint64}})[0]
 		p := decodeParts([]*peerpb.WorkspacePart{{Workspace: "w", Part: v}})[0]
-		ok := u.Recent >= 0 && u.Recent <= 1e6 && u.Usual >= 0 && u.Usual <= 1e6 && u.Admitted >= 0
-		if !ok || !(p.Part >= 0 && p.Part <= 1) {
+		ok := u.RecentRate >= 0 && u.RecentRate <= 1e6 && u.AverageRate >= 0 && u.AverageRate <= 1e6 && u.Admitted >= 0
+		if !ok || !(p.Ratio >= 0 && p.Ratio <= 1) {
 			t.Errorf("%v: %+v, %+v", v, u, p)
 		}
 	}
--- a/internal/peer/bounds_test.go
+++ b/internal/peer/bounds_test.go
@@ -23,11 +23,11 @@
 	s := serve(t, "b", nil, peer.NewMetrics(metrics.NewSet()))
 	c, _ := client(t, mesh, "a", nil)
 	ctx := context.Background()
-	big := make([]byte, limits().Body)
+	big := make([]byte, limits().MaxRequestBytes)
 	if _, err := c.Submit(ctx, s.addr, big); err == nil {
 		t.Fatal("a request over the bound was taken")
 	}
-	s.h.answer = &peerpb.PullResponse{Changes: &peerpb.Packed{Data: make([]byte, limits().Answers)}}
+	s.h.answer = &peerpb.PullResponse{Changes: &peerpb.Packed{Data: make([]byte, limits().MaxResponseBytes)}}
 	_, err := c.Pull(ctx, "b", s.addr, &peerpb.PullRequest{})
 	if err == nil || !strings.Contains(err.Error(), "too large") {
 		t.Fatalf("an answer over the bound: %v", err)
@@ -47,7 +47,7 @@
 			}))
 			defer s.Close()
 			l := limits()
-			l.Answers = 1_000_000
+			l.MaxResponseBytes = 1_000_000
 			c := clientWith(t, mesh, "a", nil, l, peer.NewMetrics(metrics.NewSet()))
 			_, err := c.Pull(context.Background(), "b", s.Listener.Addr().String(), &peerpb.PullRequest{})
 			if err == nil || !strings.Contains(err.Error(), "too large") {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -26,13 +26,13 @@
 	ErrUnreachable = errors.New("peer: no answer")
 	// ErrRefused means that the peer answered with an error.
 	ErrRefused = errors.New("peer: refused")
-	// ErrImpostor means that an answer names another VM or mesh than its
+	// ErrIdentityMismatch means that an answer names another VM or mesh than its
 	// connection does.
-	ErrImpostor = errors.New("peer: the answer does not come from whom it says")
+	ErrIdentityMismatch = errors.New("peer: the answer does not come from whom it says")
 )
 
-// Sender is what every message says of the node that sends it.
-type Sender struct {
+// SenderInfo is what every message says of the node that sends it.
+type SenderInfo struct {
 	Incarnation uint64
 	Version     config.Version
 	Behind      uint64
@@ -42,24 +42,24 @@
 
 // Limits bound the client and the server.
 type Limits struct {
-	// Dial and Answer bound a new connection, and a whole exchange.
-	Dial, Answer time.Duration
-	// IdleConns is how many kept connections a client holds, and Idle for
+	// DialTimeout and ExchangeTimeout bound a new connection, and a whole exchange.
+	DialTimeout, ExchangeTimeout time.Duration
+	// MaxIdleConns is how many kept connections a client holds, and IdleTimeout for
 	// how long. Random probing comes back to the same peer after as many
 	// seconds as its data centre has nodes, and a new TLS connection costs
 	// about as much as ten messages, so both are large.
-	IdleConns int
-	Idle      time.Duration
-	// Body bounds a message, and Answers an answer to a pull.
-	Body, Answers int64
+	MaxIdleConns int
+	IdleTimeout  time.Duration
+	// MaxRequestBytes bounds a message, and MaxResponseBytes an answer to a pull.
+	MaxRequestBytes, MaxResponseBytes int64
 }
 
 // DefaultLimits suit a data centre of a few hundred nodes.
 func DefaultLimits() Limits {
 	return Limits{
-		Dial: time.Second, Answer: 5 * time.Second,
-		IdleConns: 512, Idle: 30 * time.Minute,
-		Body: 256 << 10, Answers: 16 << 20,
+		DialTimeout: time.Second, ExchangeTimeout: 5 * time.Second,
+		MaxIdleConns: 512, IdleTimeout: 30 * time.Minute,
+		MaxRequestBytes: 256 << 10, MaxResponseBytes: 16 << 20,
 	}
 }
 
@@ -75,9 +75,9 @@
 	// Dial opens connections, by TCP if nil.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 	// Sender is asked for each message.
-	Sender func() Sender
-	// Heard is told of what each answer says of its sender.
-	Heard func(*peerpb.Envelope)
+	Sender func() SenderInfo
+	// OnEnvelope is told of what each answer says of its sender.
+	OnEnvelope func(*peerpb.Envelope)
 }
 
 // Client sends messages to other nodes.
@@ -116,7 +116,7 @@
 	}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, c.cfg.Limits.Dial)
+			ctx, cancel := context.WithTimeout(ctx, c.cfg.Limits.DialTimeout)
 			defer cancel()
 			conn, err := dial(ctx, network, addr)
 			if err != nil {
@@ -126,11 +126,11 @@
 			return &countedConn{conn, c.cfg.Metrics}, nil
 		},
 		TLSClientConfig:        c.cfg.TLS,
-		TLSHandshakeTimeout:    c.cfg.Limits.Dial,
-		MaxIdleConns:           c.cfg.Limits.IdleConns,
+		TLSHandshakeTimeout:    c.cfg.Limits.DialTimeout,
+		MaxIdleConns:           c.cfg.Limits.MaxIdleConns,
 		MaxIdleConnsPerHost:    1,
-		IdleConnTimeout:        c.cfg.Limits.Idle,
-		ResponseHeaderTimeout:  c.cfg.Limits.Answer,
+		IdleConnTimeout:        c.cfg.Limits.IdleTimeout,
+		ResponseHeaderTimeout:  c.cfg.Limits.ExchangeTimeout,
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: 4 << 10,
 		ReadBufferSize:         2 << 10,
@@ -185,7 +185,7 @@
 
 func (c *Client) envelope() *peerpb.Envelope { return seal(c.cfg.Mesh, c.cfg.VM, c.cfg.Sender()) }
 
-func seal(mesh, vm string, s Sender) *peerpb.Envelope {
+func seal(mesh, vm string, s SenderInfo) *peerpb.Envelope {
 	e := &peerpb.Envelope{
 		Mesh: mesh, From: vm, Incarnation: s.Incarnation,
 		Version: s.Version.Number, Behind: s.Behind, Confirmed: s.Confirmed,
@@ -203,9 +203,9 @@
 	}
 	if answer.Mesh != c.cfg.Mesh || (peer != "" && answer.From != peer) {
 		c.cfg.Metrics.dropped.Inc()
-		return nil, ErrImpostor
+		return nil, ErrIdentityMismatch
 	}
-	c.cfg.Heard(answer)
+	c.cfg.OnEnvelope(answer)
 	return answer, nil
 }
 
@@ -284,13 +284,13 @@
 		return nil
 	}
 	c.cfg.Metrics.dropped.Inc()
-	return ErrImpostor
+	return ErrIdentityMismatch
 }
 
 // send makes one exchange, bounds it and counts it. It returns the VM that the
 // connection's certificate names, or "" without TLS.
 func send[Q, A proto.Message](ctx context.Context, c *Client, k kind, q Q, call func(context.Context, Q) (A, error)) (A, string, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.Limits.Answer)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.Limits.ExchangeTimeout)
 	defer cancel()
 	var vm string
 	a, err := call(context.WithValue(ctx, peerKey{}, &vm), q)
@@ -339,11 +339,11 @@
 		}
 		*vm = id.VM
 	}
-	if resp.ContentLength > c.limits.Answers {
+	if resp.ContentLength > c.limits.MaxResponseBytes {
 		_ = resp.Body.Close()
 		return nil, errTooLarge
 	}
-	resp.Body = &boundedBody{resp.Body, c.limits.Answers}
+	resp.Body = &boundedBody{resp.Body, c.limits.MaxResponseBytes}
 	return resp, nil
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -50,13 +50,13 @@
 
 func (h *handlers) Report() (*peerpb.Packed, error) { return &peerpb.Packed{Data: []byte("r")}, nil }
 
-func sender() peer.Sender {
-	return peer.Sender{Incarnation: 1764700000000, Version: config.Version{Number: 930, Hash: config.Hash{1, 2, 3}}}
+func sender() peer.SenderInfo {
+	return peer.SenderInfo{Incarnation: 1764700000000, Version: config.Version{Number: 930, Hash: config.Hash{1, 2, 3}}}
 }
 
 func limits() peer.Limits {
 	l := peer.DefaultLimits()
-	l.Answer = 300 * time.Millisecond
+	l.ExchangeTimeout = 300 * time.Millisecond
 	return l
 }
 
@@ -75,7 +75,7 @@
 	h := &handlers{answer: &peerpb.PullResponse{}}
 	s := peer.NewServer(peer.ServerConfig{
 		Mesh: mesh, VM: vm, TLS: conf, Limits: limits(), Metrics: m, Log: zerolog.Nop(),
-		Sender: sender, Membership: h, Spread: h, Submitter: h, Alerts: h, Reporter: h,
+		Sender: sender, Membership: h, Distributor: h, Submitter: h, Alerts: h, Reporter: h,
 	})
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(l) }()
@@ -100,7 +100,7 @@
 	t.Helper()
 	c, err := peer.NewClient(peer.ClientConfig{
 		Mesh: meshName, VM: vm, TLS: conf, Limits: l, Metrics: m,
-		Sender: sender, Heard: func(*peerpb.Envelope) {},
+		Sender: sender, OnEnvelope: func(*peerpb.Envelope) {},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -144,7 +144,7 @@
 	if _, err := c.Pull(ctx, "b", s.addr, &peerpb.PullRequest{}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Pull(ctx, "z", s.addr, &peerpb.PullRequest{}); !errors.Is(err, peer.ErrImpostor) {
+	if _, err := c.Pull(ctx, "z", s.addr, &peerpb.PullRequest{}); !errors.Is(err, peer.ErrIdentityMismatch) {
 		t.Fatalf("a pull from another VM: %v", err)
 	}
 	if got, err := c.Submit(ctx, s.addr, []byte("it")); err != nil || string(got) != "done it" {
@@ -156,7 +156,7 @@
 	if got, err := c.Report(ctx, "b", s.addr); err != nil || string(got.GetData()) != "r" {
 		t.Fatal(got, err)
 	}
-	if _, err := c.Report(ctx, "z", s.addr); !errors.Is(err, peer.ErrImpostor) {
+	if _, err := c.Report(ctx, "z", s.addr); !errors.Is(err, peer.ErrIdentityMismatch) {
 		t.Fatalf("a report of another VM: %v", err)
 	}
 	if len(s.h.heard) != 2 || s.h.heard[0].From != "a" || s.h.heard[0].Version != 930 {
--- a/internal/peer/runner_test.go
+++ b/internal/peer/runner_test.go
@@ -21,7 +21,7 @@
 )
 
 var (
-	_ peer.Spread       = (*distribute.Runner)(nil)
+	_ peer.Distributor  = (*distribute.Runner)(nil)
 	_ distribute.Client = (*peer.Client)(nil)
 )
 
@@ -81,13 +81,13 @@
 	m := peer.NewMetrics(metrics.NewSet())
 	k := keep(t, ca, trust.Identity{Mesh: mesh, VM: vm}, m)
 	var r *distribute.Runner
-	stamp := func() peer.Sender {
+	stamp := func() peer.SenderInfo {
 		s := r.Stamp()
-		return peer.Sender{Version: s.Version, Behind: s.Behind}
+		return peer.SenderInfo{Version: s.Version, Behind: s.Behind}
 	}
 	c, err := peer.NewClient(peer.ClientConfig{
 		Mesh: mesh, VM: vm, TLS: k.Client(), Limits: limits(), Metrics: m, Sender: stamp,
-		Heard: func(e *peerpb.Envelope) { r.Heard(e) },
+		OnEnvelope: func(e *peerpb.Envelope) { r.Heard(e) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 	})
 	s := peer.NewServer(peer.ServerConfig{
 		Mesh: mesh, VM: vm, TLS: k.Server(), Limits: limits(), Metrics: m, Log: zerolog.Nop(),
-		Sender: stamp, Spread: r, Membership: &handlers{}, Submitter: &handlers{}, Alerts: &handlers{},
+		Sender: stamp, Distributor: r, Membership: &handlers{}, Submitter: &handlers{}, Alerts: &handlers{},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -25,8 +25,8 @@
 	Request(from string, m *peerpb.Membership) *peerpb.Membership
 }
 
-// Spread hears of versions and serves pulls.
-type Spread interface {
+// Distributor hears of versions and serves pulls.
+type Distributor interface {
 	Heard(*peerpb.Envelope)
 	ServePull(*peerpb.PullRequest) (*peerpb.PullResponse, error)
 }
@@ -60,19 +60,19 @@
 
 // ServerConfig is what a Server works with.
 type ServerConfig struct {
-	Mesh, VM   string
-	TLS        *tls.Config // nil for plain TCP
-	Limits     Limits
-	Metrics    *Metrics
-	Log        zerolog.Logger
-	Sender     func() Sender
-	Membership Membership
-	Spread     Spread
-	Submitter  Submitter
-	Alerts     Alerts
-	Reporter   Reporter
-	Rollouts   Rollouts
-	Collector  Collector
+	Mesh, VM    string
+	TLS         *tls.Config // nil for plain TCP
+	Limits      Limits
+	Metrics     *Metrics
+	Log         zerolog.Logger
+	Sender      func() SenderInfo
+	Membership  Membership
+	Distributor Distributor
+	Submitter   Submitter
+	Alerts      Alerts
+	Reporter    Reporter
+	Rollouts    Rollouts
+	Collector   Collector
 }
 
 // Server answers other nodes.
@@ -91,12 +91,12 @@
 	twirpServer := peerpb.NewPeerServer(&service{cfg}, twirp.WithServerPathPrefix(""))
 	s.http = &http.Server{
 		Handler:           s.guard(twirpServer),
-		ReadHeaderTimeout: cfg.Limits.Answer,
-		ReadTimeout:       cfg.Limits.Answer,
-		WriteTimeout:      2 * cfg.Limits.Answer,
+		ReadHeaderTimeout: cfg.Limits.ExchangeTimeout,
+		ReadTimeout:       cfg.Limits.ExchangeTimeout,
+		WriteTimeout:      2 * cfg.Limits.ExchangeTimeout,
 		// Longer than the client keeps it, so that the client closes first
 		// and never writes into a connection that is being closed.
-		IdleTimeout:    cfg.Limits.Idle + time.Minute,
+		IdleTimeout:    cfg.Limits.IdleTimeout + time.Minute,
 		MaxHeaderBytes: 4 << 10,
 		ErrorLog:       log.New(debugWriter{cfg.Log}, "", 0),
 		ConnState:      s.conns.Note,
@@ -128,7 +128,7 @@
 // guard bounds the body and notes who speaks.
 func (s *Server) guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		r.Body = http.MaxBytesReader(w, r.Body, s.cfg.Limits.Body)
+		r.Body = http.MaxBytesReader(w, r.Body, s.cfg.Limits.MaxRequestBytes)
 		w.Header()["Date"] = nil // nobody reads it
 		if s.cfg.TLS != nil {
 			id, err := trust.PeerOf(r.TLS)
@@ -176,9 +176,9 @@
 // of a second of its core. The size is known before anything is encoded.
 func (s *service) answered(k kind, m proto.Message) error {
 	size := proto.Size(m)
-	if int64(size) > s.cfg.Limits.Answers {
+	if int64(size) > s.cfg.Limits.MaxResponseBytes {
 		s.cfg.Metrics.kinds[k].errors.Inc()
-		s.cfg.Log.Error().Str("kind", string(k)).Int("bytes", size).Int64("bound", s.cfg.Limits.Answers).
+		s.cfg.Log.Error().Str("kind", string(k)).Int("bytes", size).Int64("bound", s.cfg.Limits.MaxResponseBytes).
 			Msg("peer: refuse to send an answer over the bound")
 		return twirp.ResourceExhausted.Error(errTooLarge.Error())
 	}
@@ -195,7 +195,7 @@
 	if err := s.admit(ctx, k, e); err != nil {
 		return nil, err
 	}
-	s.cfg.Spread.Heard(e)
+	s.cfg.Distributor.Heard(e)
 	var m *peerpb.Membership
 	if e.Membership != nil {
 		m = s.cfg.Membership.Request(e.From, e.Membership)
@@ -211,7 +211,7 @@
 // Pull implements peerpb.Peer.
 func (s *service) Pull(ctx context.Context, q *peerpb.PullRequest) (*peerpb.PullResponse, error) {
 	return serve(ctx, s, kindPull, q, func() (*peerpb.PullResponse, error) {
-		a, err := s.cfg.Spread.ServePull(q)
+		a, err := s.cfg.Distributor.ServePull(q)
 		if err != nil {
 			return nil, twirp.InvalidArgument.Error(err.Error())
 		}
--- a/internal/proxy/look_model_test.go
+++ b/internal/proxy/look_model_test.go
@@ -60,7 +60,7 @@
 	nodes  []*modelNode
 	byID   map[string]*modelNode
 	rng    *rand.Rand
-	agenda agenda.Agenda
+	agenda agenda.EventQueue
 	start  time.Time
 	owners map[*limit.Entry]func(now time.Time, refused *call.Refusal)
 
@@ -93,7 +93,7 @@
 	return m
 }
 
-func (m *model) at(t time.Time, do func(time.Time)) { m.agenda.At(t, do) }
+func (m *model) at(t time.Time, do func(time.Time)) { m.agenda.Schedule(t, do) }
 
 // restartInTurn makes half of the endpoints come back one after the other, as new, over the
 // measured time. What a restart itself takes is left out.
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -38,7 +38,7 @@
 	}()
 	<-begun
 	m.useAll()
-	m.calls[0].Leave()
+	m.calls[0].StartDraining()
 	m.dest[0].Drain()
 	stopped := make(chan error, 1)
 	go func() { stopped <- m.stop(0) }()
--- a/internal/quota/collector.go
+++ b/internal/quota/collector.go
@@ -14,8 +14,8 @@
 	Burst float64 // calls at once beyond the rate
 }
 
-// Terms say how users count the calls of a workspace against its quota.
-type Terms struct {
+// Policy says how users count the calls of a workspace against its quota.
+type Policy struct {
 	// Window is the span over which they count; zero where the quota is a token bucket.
 	Window time.Duration
 	// Overage and Slack are what may be beyond the quota in a window: a share of it, and calls.
@@ -28,7 +28,7 @@
 
 // Limit returns the limit of a quota of rate calls a second and burst calls more. A workspace
 // that takes its whole quota in each window takes the burst in each of them as well.
-func (t Terms) Limit(rate, burst float64) Limit {
+func (t Policy) Limit(rate, burst float64) Limit {
 	if t.Window <= 0 {
 		return Limit{Rate: rate, Burst: burst + toleranceUsed*t.Slack}
 	}
@@ -70,7 +70,7 @@
 	others    map[string]*reporter // the collectors that others tell
 	buckets   map[string]*bucket
 	gathered  map[string]int64 // calls of the nodes that passed, by workspace
-	decided   []Part
+	decided   []Admission
 	decidedAt time.Time
 }
 
@@ -131,13 +131,13 @@
 	}
 }
 
-// Node takes the report of a node.
-func (c *Collector) Node(now time.Time, id string, incarnation uint64, usage []Usage) {
+// AddNodeReport takes the report of a node.
+func (c *Collector) AddNodeReport(now time.Time, id string, incarnation uint64, usage []Usage) {
 	c.take(now, c.nodes, id, incarnation, usage, true)
 }
 
-// Sum takes the report of another collector on the nodes that tell it.
-func (c *Collector) Sum(now time.Time, id string, incarnation uint64, usage []Usage) {
+// AddCollectorReport takes the report of another collector on the nodes that tell it.
+func (c *Collector) AddCollectorReport(now time.Time, id string, incarnation uint64, usage []Usage) {
 	c.take(now, c.others, id, incarnation, usage, false)
 }
 
@@ -159,7 +159,7 @@
 		}
 		if !known {
 			// Most of what passed before this collector heard of it is long ago.
-			s.Admitted, s.assumed = u.Admitted-min(u.Admitted, int64(u.Recent*ReportEvery.Seconds())), 0
+			s.Admitted, s.assumed = u.Admitted-min(u.Admitted, int64(u.RecentRate*ReportInterval.Seconds())), 0
 		}
 		passed := u.Admitted - s.Admitted
 		if own {
@@ -180,7 +180,7 @@
 }
 
 // Decide returns the workspaces of which not all calls may pass.
-func (c *Collector) Decide(now time.Time, limits map[string]Limit) []Part {
+func (c *Collector) Decide(now time.Time, limits map[string]Limit) []Admission {
 	if c.decidedAt.IsZero() {
 		c.decidedAt = now
 	}
@@ -192,15 +192,15 @@
 	c.forget(now)
 	c.noteSilent(now)
 	recent, kept := c.demand(span), c.kept()
-	out := make([]Part, 0)
+	out := make([]Admission, 0)
 	for name, limit := range limits {
 		b := c.bucket(name)
 		b.fill(limit.less(kept[name]), recent[name], span)
 		if b.part < 1 {
-			out = append(out, Part{name, b.part})
+			out = append(out, Admission{name, b.part})
 		}
 	}
-	slices.SortFunc(out, func(a, b Part) int { return strings.Compare(a.Workspace, b.Workspace) })
+	slices.SortFunc(out, func(a, b Admission) int { return strings.Compare(a.Workspace, b.Workspace) })
 	c.decided = out
 	return out
 }
@@ -225,7 +225,7 @@
 		}
 		r.shares = make(map[string]float64, len(r.usage))
 		for name, s := range r.usage {
-			r.shares[name] = s.Usual / max(c.usual(name), s.Usual, minUsual)
+			r.shares[name] = s.AverageRate / max(c.usual(name), s.AverageRate, minUsual)
 		}
 	}
 }
@@ -235,7 +235,7 @@
 	sum := 0.0
 	for _, r := range c.reporters() {
 		if s := r.usage[name]; s != nil {
-			sum += s.Usual
+			sum += s.AverageRate
 		}
 	}
 	return sum
@@ -272,9 +272,9 @@
 			continue
 		}
 		for name, s := range r.usage {
-			recent[name] += s.Recent
+			recent[name] += s.RecentRate
 			b := c.bucket(name)
-			passed := s.Recent * b.part * span
+			passed := s.RecentRate * b.part * span
 			s.assumed += passed
 			b.level -= passed
 		}
@@ -291,14 +291,14 @@
 	drop(c.others, keepSumFor)
 }
 
-// Asked returns the rate of a workspace's calls asked for in the whole mesh, a second.
-func (c *Collector) Asked(workspace string) float64 { return c.bucket(workspace).asked }
+// DemandRate returns the rate of a workspace's calls asked for in the whole mesh, a second.
+func (c *Collector) DemandRate(workspace string) float64 { return c.bucket(workspace).asked }
 
-// Nodes returns how many nodes tell this collector.
-func (c *Collector) Nodes() int { return len(c.nodes) }
+// NodeCount returns how many nodes tell this collector.
+func (c *Collector) NodeCount() int { return len(c.nodes) }
 
-// Sums returns what the nodes that tell this collector take, for other collectors.
-func (c *Collector) Sums() []Usage {
+// NodeTotals returns what the nodes that tell this collector take, for other collectors.
+func (c *Collector) NodeTotals() []Usage {
 	sums := make(map[string]*Usage)
 	for _, r := range c.nodes {
 		if r.shares != nil {
@@ -310,8 +310,8 @@
 				sum = &Usage{Workspace: name, Admitted: c.gathered[name]}
 				sums[name] = sum
 			}
-			sum.Recent += s.Recent
-			sum.Usual += s.Usual
+			sum.RecentRate += s.RecentRate
+			sum.AverageRate += s.AverageRate
 		}
 	}
 	out := make([]Usage, 0, len(sums))
--- a/internal/quota/cut_test.go
+++ b/internal/quota/cut_test.go
@@ -13,19 +13,19 @@
 	limit := Limit{Rate: 100, Burst: 50}
 	start := time.Unix(1e6, 0)
 	sides := []*Collector{NewCollector(), NewCollector()}
-	for at := time.Duration(0); at <= foundAt; at += ExchangeEvery {
+	for at := time.Duration(0); at <= foundAt; at += ExchangeInterval {
 		now := start.Add(at)
 		usual := 50.0
 		if at > cutAt {
 			usual = 50 + 100*(at-cutAt).Seconds() // a surge
 		}
 		for _, c := range sides {
-			c.Node(now, "n", 1, []Usage{{Workspace: name, Recent: usual, Usual: usual}})
+			c.AddNodeReport(now, "n", 1, []Usage{{Workspace: name, RecentRate: usual, AverageRate: usual}})
 			c.Decide(now, map[string]Limit{name: limit})
 		}
 		if at <= cutAt {
-			sides[0].Sum(now, "c1", 1, sides[1].Sums())
-			sides[1].Sum(now, "c0", 1, sides[0].Sums())
+			sides[0].AddCollectorReport(now, "c1", 1, sides[1].NodeTotals())
+			sides[1].AddCollectorReport(now, "c0", 1, sides[0].NodeTotals())
 		}
 	}
 	together := 0.0
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -25,18 +25,18 @@
 // Usage is what calls of one workspace there were at one node, or in a data centre.
 type Usage struct {
 	Workspace string
-	// Recent is the rate of the calls asked for since the last report, a second, and Usual
+	// RecentRate is the rate of the calls asked for since the last report, a second, and AverageRate
 	// their moving mean.
-	Recent, Usual float64
+	RecentRate, AverageRate float64
 	// Admitted counts the calls that passed since the start. It falls where calls that passed
 	// were not run.
 	Admitted int64
 }
 
-// Part is the share of a workspace's calls that may pass, 0 to 1.
-type Part struct {
+// Admission is the share of a workspace's calls that may pass, 0 to 1.
+type Admission struct {
 	Workspace string
-	Part      float64
+	Ratio     float64
 }
 
 // Limiter decides which calls of a workspace pass at one node. It is safe for concurrent use.
@@ -107,8 +107,8 @@
 	return true
 }
 
-// GiveBack takes back a call that Admit let pass, and that was not run.
-func (l *Limiter) GiveBack(workspace string) {
+// Refund takes back a call that Admit let pass, and that was not run.
+func (l *Limiter) Refund(workspace string) {
 	l.meter(workspace).admitted.Add(-1)
 }
 
@@ -133,8 +133,8 @@
 	return after/passUnit != (after-step)/passUnit
 }
 
-// Rest has the next call of each workspace count as a surge.
-func (l *Limiter) Rest() {
+// ReportNextCall has the next call of each workspace count as a surge.
+func (l *Limiter) ReportNextCall() {
 	l.meters.Range(func(_, v any) bool {
 		m := v.(*meter)
 		m.surgeAt.Store(m.asked.Load() + 1)
@@ -167,16 +167,16 @@
 	m.usual += weight * (recent - m.usual)
 	m.reported = asked
 	m.surgeAt.Store(asked + m.soonCalls())
-	return Usage{Workspace: name, Recent: recent, Usual: m.usual, Admitted: m.admitted.Load()}
+	return Usage{Workspace: name, RecentRate: recent, AverageRate: m.usual, Admitted: m.admitted.Load()}
 }
 
 // soonCalls is how many calls since a report bring on the next one. Where a workspace has used up
 // its quota, each call that passes beyond what was decided is one too many.
 func (m *meter) soonCalls() int64 {
 	if m.share() < 1 {
-		return overCalls + int64(overTimes*m.usual*ReportEvery.Seconds())
+		return overCalls + int64(overTimes*m.usual*ReportInterval.Seconds())
 	}
-	return m.surgeCalls(ReportEvery)
+	return m.surgeCalls(ReportInterval)
 }
 
 // surgeCalls is how many calls in a span are a surge.
@@ -185,10 +185,10 @@
 }
 
 // Apply puts the answer of a collector in force: calls of all other workspaces pass.
-func (l *Limiter) Apply(parts []Part) {
+func (l *Limiter) Apply(parts []Admission) {
 	named := make(map[string]float64, len(parts))
 	for _, p := range parts {
-		named[p.Workspace] = p.Part
+		named[p.Workspace] = p.Ratio
 	}
 	l.meters.Range(func(name, m any) bool {
 		part, ok := named[name.(string)]
@@ -204,36 +204,36 @@
 	}
 }
 
-// Unanswered tells that a report got no answer of a collector.
-type Unanswered struct {
-	// Span is the time since the report before.
-	Span time.Duration
-	// Since is the time since a collector last answered; AloneAfter or more if none ever has.
-	Since time.Duration
+// Fallback tells that a report got no answer of a collector.
+type Fallback struct {
+	// SinceReport is the time since the report before.
+	SinceReport time.Duration
+	// SinceAnswer is the time since a collector last answered; FallbackAfter or more if none ever has.
+	SinceAnswer time.Duration
 	// Nodes is how many nodes the mesh has.
 	Nodes int
 	// Limits are the quotas of the workspaces.
 	Limits map[string]Limit
-	// Answered is the last report that was answered.
-	Answered []Usage
+	// LastAnswered is the last report that was answered.
+	LastAnswered []Usage
 }
 
-// Unanswered limits the calls while no collector answers: those of a workspace to what passed
+// ApplyFallback limits the calls while no collector answers: those of a workspace to what passed
 // when one last did, or to an equal share of its quota among all nodes. The last answer holds
-// for AloneAfter, but for workspaces that send much more since.
-func (l *Limiter) Unanswered(u Unanswered) {
-	usual := make(map[string]float64, len(u.Answered))
-	for _, a := range u.Answered {
-		usual[a.Workspace] = a.Usual
+// for FallbackAfter, but for workspaces that send much more since.
+func (l *Limiter) ApplyFallback(u Fallback) {
+	usual := make(map[string]float64, len(u.LastAnswered))
+	for _, a := range u.LastAnswered {
+		usual[a.Workspace] = a.AverageRate
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for workspace, limit := range u.Limits {
 		m := l.meter(workspace)
-		if u.Since < AloneAfter && !m.surging && !m.alone.Load() {
+		if u.SinceAnswer < FallbackAfter && !m.surging && !m.alone.Load() {
 			continue
 		}
-		m.fill(limit.alone(usual[workspace], m.share(), u.Nodes), u.Span)
+		m.fill(limit.alone(usual[workspace], m.share(), u.Nodes), u.SinceReport)
 	}
 }
 
--- a/internal/quota/mesh_test.go
+++ b/internal/quota/mesh_test.go
@@ -69,7 +69,7 @@
 	for i := range workspaces {
 		name := fmt.Sprintf("w%02d", i)
 		usual[name] = total * math.Pow(float64(i+1), -1.2) / sum
-		s.limits[name] = Terms{Window: window, Overage: overage, Slack: slackCalls}.Limit(1.6*usual[name], 1.6*usual[name])
+		s.limits[name] = Policy{Window: window, Overage: overage, Slack: slackCalls}.Limit(1.6*usual[name], 1.6*usual[name])
 		s.names = append(s.names, name)
 	}
 	s.rate = func(name string, _ time.Duration) float64 { return usual[name] }
@@ -79,7 +79,7 @@
 	for i := range nodes {
 		s.nodes = append(s.nodes, &simNode{
 			id: fmt.Sprintf("n%03d", i), dc: i % dcs, l: NewLimiter(s.now), sent: s.now,
-			next: s.now.Add(time.Duration(s.rng.Int64N(int64(ReportEvery)))),
+			next: s.now.Add(time.Duration(s.rng.Int64N(int64(ReportInterval)))),
 		})
 	}
 	for range dcs {
@@ -136,38 +136,38 @@
 		surge = true
 	default:
 	}
-	if s.now.Before(n.next) && !(surge && s.now.Add(ReportEvery-SurgeGap).After(n.next)) {
+	if s.now.Before(n.next) && !(surge && s.now.Add(ReportInterval-MinReportInterval).After(n.next)) {
 		return
 	}
-	n.next = s.now.Add(ReportEvery)
-	if s.now.Sub(n.called) > RestAfter {
-		n.l.Rest()
+	n.next = s.now.Add(ReportInterval)
+	if s.now.Sub(n.called) > IdleAfter {
+		n.l.ReportNextCall()
 		return
 	}
 	usage := n.l.Report(s.now)
 	if s.lost(n.dc, s.at()) {
-		n.l.Unanswered(Unanswered{
-			Span: s.now.Sub(n.sent), Since: s.now.Sub(n.reached), Nodes: len(s.nodes), Limits: s.limits, Answered: n.before,
+		n.l.ApplyFallback(Fallback{
+			SinceReport: s.now.Sub(n.sent), SinceAnswer: s.now.Sub(n.reached), Nodes: len(s.nodes), Limits: s.limits, LastAnswered: n.before,
 		})
 		n.sent = s.now
 		return
 	}
 	n.reached, n.sent, n.before = s.now, s.now, usage
 	c := s.collectors[n.dc]
-	c.Node(s.now, n.id, 1+n.incarnation, usage)
+	c.AddNodeReport(s.now, n.id, 1+n.incarnation, usage)
 	n.l.Apply(c.Decide(s.now, s.limits))
 }
 
 func (s *sim) exchange(dc int, c *simCollector) {
-	if s.now.Before(c.next) || s.lost(dc, s.at()) || c.Nodes() == 0 {
+	if s.now.Before(c.next) || s.lost(dc, s.at()) || c.NodeCount() == 0 {
 		return
 	}
-	c.next = s.now.Add(ExchangeEvery)
+	c.next = s.now.Add(ExchangeInterval)
 	for other, o := range s.collectors {
 		if other == dc || s.lost(other, s.at()) || s.cut(dc, s.at()) != s.cut(other, s.at()) {
 			continue
 		}
-		o.Sum(s.now, fmt.Sprint("c", dc), 1, c.Sums())
+		o.AddCollectorReport(s.now, fmt.Sprint("c", dc), 1, c.NodeTotals())
 		o.Decide(s.now, s.limits)
 	}
 }
@@ -331,7 +331,7 @@
 
 func BenchmarkAdmit(b *testing.B) {
 	l := NewLimiter(time.Now())
-	l.Apply([]Part{{"w", 0.5}})
+	l.Apply([]Admission{{"w", 0.5}})
 	b.ReportAllocs()
 	for b.Loop() {
 		l.Admit("w")
--- a/internal/quota/surge_test.go
+++ b/internal/quota/surge_test.go
@@ -18,7 +18,7 @@
 
 func newNearQuotaMesh() *nearQuotaMesh {
 	m := &nearQuotaMesh{now: time.Unix(1e6, 0), c: NewCollector()}
-	m.limits = map[string]Limit{"w": Terms{Window: window, Overage: overage, Slack: slackCalls}.Limit(100, 0)}
+	m.limits = map[string]Limit{"w": Policy{Window: window, Overage: overage, Slack: slackCalls}.Limit(100, 0)}
 	for range 10 {
 		m.nodes = append(m.nodes, NewLimiter(m.now))
 	}
@@ -51,7 +51,7 @@
 		m.calls(1)
 		if i%3 == 2 { // each third of a second
 			for j, n := range m.nodes {
-				m.c.Node(m.now, fmt.Sprint(j), 1, n.Report(m.now))
+				m.c.AddNodeReport(m.now, fmt.Sprint(j), 1, n.Report(m.now))
 				n.Apply(m.c.Decide(m.now, m.limits))
 			}
 		}
@@ -88,14 +88,14 @@
 	m := newNearQuotaMesh()
 	m.settle()
 	reached, passed := m.now, 0
-	for m.now.Before(reached.Add(AloneAfter - SurgeGap)) {
+	for m.now.Before(reached.Add(FallbackAfter - MinReportInterval)) {
 		passed += m.calls(4)
-		m.now = m.now.Add(SurgeGap)
+		m.now = m.now.Add(MinReportInterval)
 		for _, n := range m.nodes {
 			n.Report(m.now)
-			n.Unanswered(Unanswered{
-				Span: SurgeGap, Since: m.now.Sub(reached), Nodes: len(m.nodes), Limits: m.limits,
-				Answered: []Usage{{Workspace: "w", Usual: 9}},
+			n.ApplyFallback(Fallback{
+				SinceReport: MinReportInterval, SinceAnswer: m.now.Sub(reached), Nodes: len(m.nodes), Limits: m.limits,
+				LastAnswered: []Usage{{Workspace: "w", AverageRate: 9}},
 			})
 		}
 	}
--- a/internal/route/sim_test.go
+++ b/internal/route/sim_test.go
@@ -62,7 +62,7 @@
 
 type sim struct {
 	now    time.Time
-	events agenda.Agenda
+	events agenda.EventQueue
 	rng    *rand.Rand
 	eps    []*simEndpoint
 	mixed  bool
@@ -167,7 +167,7 @@
 }
 
 func (s *sim) at(d time.Duration, run func(time.Time)) {
-	s.events.At(s.now.Add(d), func(now time.Time) {
+	s.events.Schedule(s.now.Add(d), func(now time.Time) {
 		s.now = now
 		run(now)
 	})
