--- a/internal/limit/sim_test.go
+++ b/internal/limit/sim_test.go
@@ -93,7 +93,7 @@
 type simRun struct {
 	simulation
 	rand       *rand.Rand
-	agenda     agenda.Agenda
+	agenda     agenda.EventQueue
 	queue      *Queue
 	owners     map[*Entry]*simCall
 	result     simResult
@@ -131,7 +131,7 @@
 	return r.result
 }
 
-func (r *simRun) schedule(t time.Time, do func(time.Time)) { r.agenda.At(t, do) }
+func (r *simRun) schedule(t time.Time, do func(time.Time)) { r.agenda.Schedule(t, do) }
 
 // arrivals schedules Poisson arrivals of a class; each arrival schedules the next.
 func (r *simRun) arrivals(c *simClass) {
--- a/internal/membership/mesh_test.go
+++ b/internal/membership/mesh_test.go
@@ -31,7 +31,7 @@
 	rnd    *rand.Rand
 	nodes  []*vm
 	byAddr map[string]*vm
-	events agenda.Agenda
+	events agenda.EventQueue
 
 	loss, double float64
 	delayMax     time.Duration
@@ -116,7 +116,7 @@
 }
 
 func (w *mesh) at(t time.Time, run func()) {
-	w.events.At(t, func(time.Time) { run() })
+	w.events.Schedule(t, func(time.Time) { run() })
 }
 
 func (w *mesh) after(d time.Duration, run func()) { w.at(w.now.Add(d), run) }
@@ -159,7 +159,7 @@
 }
 
 // deliver carries a request, perhaps twice, and its answer back.
-func (w *mesh) deliver(from *vm, s Send) {
+func (w *mesh) deliver(from *vm, s OutgoingRequest) {
 	life := from.life
 	w.count(s.Msg)
 	w.after(s.Timeout, func() { // a second report of the outcome is ignored
@@ -174,7 +174,7 @@
 	}
 }
 
-func (w *mesh) arrive(from *vm, life int, s Send) {
+func (w *mesh) arrive(from *vm, life int, s OutgoingRequest) {
 	to := w.byAddr[s.Addr]
 	if w.lost(from, to) {
 		return
--- a/internal/peer/runner_test.go
+++ b/internal/peer/runner_test.go
@@ -21,7 +21,7 @@
 )
 
 var (
-	_ peer.Spread       = (*distribute.Runner)(nil)
+	_ peer.Distributor  = (*distribute.Runner)(nil)
 	_ distribute.Client = (*peer.Client)(nil)
 )
 
@@ -73,7 +73,7 @@
 	stop   func()
 }
 
-func startReal(t *testing.T, ca *trusttest.CA, vm string, l net.Listener, views *membership.Views, p *table) *realNode {
+func startReal(t *testing.T, ca *trusttest.CA, vm string, l net.Listener, views *membership.CurrentView, p *table) *realNode {
 	store, err := config.NewStore(func(*config.Snapshot) (int, error) { return 0, nil })
 	if err != nil {
 		t.Fatal(err)
@@ -81,23 +81,23 @@
 	m := peer.NewMetrics(metrics.NewSet())
 	k := keep(t, ca, trust.Identity{Mesh: mesh, VM: vm}, m)
 	var r *distribute.Runner
-	stamp := func() peer.Sender {
+	stamp := func() peer.SenderInfo {
 		s := r.Stamp()
-		return peer.Sender{Version: s.Version, Behind: s.Behind}
+		return peer.SenderInfo{Version: s.Version, Behind: s.Behind}
 	}
 	c, err := peer.NewClient(peer.ClientConfig{
 		Mesh: mesh, VM: vm, TLS: k.Client(), Limits: limits(), Metrics: m, Sender: stamp,
-		Heard: func(e *peerpb.Envelope) { r.Heard(e) },
+		OnEnvelope: func(e *peerpb.Envelope) { r.Heard(e) },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r = distribute.NewRunner(distribute.Defaults(vm, "neg-shed", distribute.Time()), distribute.Deps{
+	r = distribute.NewRunner(distribute.Defaults(vm, "neg-shed", distribute.TimeProfile()), distribute.Deps{
 		Views: views, Platform: p, Client: c, Store: store, Log: zerolog.Nop(),
 	})
 	s := peer.NewServer(peer.ServerConfig{
 		Mesh: mesh, VM: vm, TLS: k.Server(), Limits: limits(), Metrics: m, Log: zerolog.Nop(),
-		Sender: stamp, Spread: r, Membership: &handlers{}, Submitter: &handlers{}, Alerts: &handlers{},
+		Sender: stamp, Distributor: r, Membership: &handlers{}, Submitter: &handlers{}, Alerts: &handlers{},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -131,8 +131,8 @@
 // the same version, from its peers alone.
 func TestChangeAndRestartOverRealSockets(t *testing.T) {
 	ca, p := trusttest.NewCA(t), &table{head: config.Empty()}
-	views := new(membership.Views)
-	view := &membership.View{Records: make(map[string]*membership.Seen)}
+	views := new(membership.CurrentView)
+	view := &membership.View{Records: make(map[string]*membership.ObservedRecord)}
 	listeners := make(map[string]net.Listener)
 	ids := []string{"vm-a", "vm-b", "vm-c"}
 	for _, id := range ids {
@@ -141,7 +141,7 @@
 			t.Fatal(err)
 		}
 		listeners[id] = l
-		view.Records[id] = &membership.Seen{Record: membership.Record{State: membership.VMAlive, VM: membership.VM{
+		view.Records[id] = &membership.ObservedRecord{Record: membership.Record{State: membership.VMAlive, VM: membership.VM{
 			ID: id, DataCentre: "neg-shed", ControlAddr: l.Addr().String(),
 		}}}
 	}
