--- a/internal/route/average.go
+++ b/internal/route/average.go
@@ -5,37 +5,36 @@
 	"sync/atomic"
 )
 
-// average is a moving average with the moment of its last sample, in one word
-// so that it is read and replaced without a lock. The zero value has no
-// samples.
+// average is a moving average and the time of its last sample, packed into one word so that both
+// are read and replaced without a lock. The zero value has no samples.
 type average struct{ word atomic.Uint64 }
 
 func pack(v float64, at int64) uint64 {
 	return uint64(math.Float32bits(float32(v)))<<32 | uint64(uint32(at))
 }
 
-// unpack returns the value and the low 32 bits of the moment, which is in
-// milliseconds since the Picker began. A zero word means no sample.
+// unpack returns the value and the low 32 bits of the sample time, in milliseconds since the
+// Picker's epoch. A zero word means no sample.
 func unpack(w uint64) (v float64, at uint32, ok bool) {
 	return float64(math.Float32frombits(uint32(w >> 32))), uint32(w), w != 0
 }
 
-// load returns the average and the age of its last sample.
+// load returns the average and the age of its last sample in milliseconds.
 //
-// The moment wraps around after 49.7 days. Ages are differences of 32 bits, so
-// that they stay right over the wrap; a difference that would be negative comes
-// from a caller whose clock reading is a little older, and counts as zero.
+// The 32-bit sample time wraps around after 49.7 days. Ages are 32-bit differences, which stay
+// correct across the wrap. A negative difference comes from a caller with a slightly older clock
+// reading, and counts as zero.
 func (a *average) load(now int64) (v float64, age int64, ok bool) {
 	v, at, ok := unpack(a.word.Load())
 	return v, max(0, int64(int32(uint32(now)-at))), ok
 }
 
-// set replaces the average by one sample.
+// set replaces the average with one sample.
 func (a *average) set(v float64, at int64) { a.word.Store(pack(v, at)) }
 
 func (a *average) clear() { a.word.Store(0) }
 
-// add takes in a sample with the given weight. The first sample counts whole.
+// add adds a sample with the given weight. The first sample becomes the average.
 func (a *average) add(v, weight float64, at int64) {
 	for {
 		old := a.word.Load()
@@ -49,9 +48,8 @@
 	}
 }
 
-// fade returns how much of something of the given age still counts: one when
-// new, a half at age half.
-func fade(age, half int64) float64 {
+// decay returns the weight of a sample of the given age: 1 when new, 0.5 at age half.
+func decay(age, half int64) float64 {
 	if age <= 0 {
 		return 1
 	}
--- a/internal/route/canary.go
+++ b/internal/route/canary.go
@@ -1,15 +1,15 @@
 package route
 
-// canaryShare is the part of the calls that are offered to a canary first. It is more than
-// the canaries take, so that they get all the calls that they are to have.
+// canaryShare is the share of calls offered to a canary first. It exceeds the share that canaries
+// accept, so that they receive all the calls intended for them.
 const canaryShare = 0.08
 
-// canary returns a canary for the first attempt at a call, or nil: one of the own data
-// centre where there are any. Each call has the same chance to meet one, whatever else the
-// node knows of load and nearness, so that a version is tried with the calls that it will
-// get, also where the near endpoints always have room. Further attempts go elsewhere.
-func (p *Picker) canary(t *table, now int64, tried []string) *state {
-	if !t.tries || len(tried) > 0 || p.randomFloat() >= canaryShare {
+// pickCanary returns a canary for the first attempt of a call, or nil. It prefers canaries of the
+// own data centre. Every call has the same chance, regardless of load and locality, so that a new
+// version is tried on the calls it will later get, even where local endpoints always have free
+// slots. Further attempts go elsewhere.
+func (p *Picker) pickCanary(t *table, now int64, tried []string) *state {
+	if !t.hasCanaries || len(tried) > 0 || p.randomFloat() >= canaryShare {
 		return nil
 	}
 	for _, list := range t.canaries {
--- a/internal/route/compare_test.go
+++ b/internal/route/compare_test.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// nineEndpoints at 60% of their capacity, which is 9*6/20 ms = 2,700 a second.
-func nineEndpoints(change func(first *simEndpoint)) simSetup {
+// nineEndpoints returns nine endpoints at 60% of their capacity of 9*6/20 ms = 2,700 calls a
+// second.
+func nineEndpoints(configure func(first *simEndpoint)) simSetup {
 	eps := simEndpoints("a", 0, 9)
-	if change != nil {
-		change(eps[0])
+	if configure != nil {
+		configure(eps[0])
 	}
 	return simSetup{eps: eps, rate: 1620, length: simLength}
 }
 
-type comparison struct{ rr, lo, lr, ours simResult }
+type comparison struct{ roundRobin, leastOutstanding, leastReported, picker simResult }
 
 func compare(t *testing.T, c simSetup) comparison {
 	t.Helper()
 	r := comparison{
-		rr:   c.run(makeRoundRobin),
-		lo:   c.run(makeLeastOutstanding),
-		ours: c.run(makeOurs),
+		roundRobin:       c.run(makeRoundRobin),
+		leastOutstanding: c.run(makeLeastOutstanding),
+		picker:           c.run(makePicker),
 	}
-	t.Logf("round robin       %v", r.rr)
-	t.Logf("least outstanding %v", r.lo)
-	t.Logf("ours              %v", r.ours)
+	t.Logf("round robin       %v", r.roundRobin)
+	t.Logf("least outstanding %v", r.leastOutstanding)
+	t.Logf("picker            %v", r.picker)
 	return r
 }
 
-// compareReports compares to believing the reports too.
-func compareReports(t *testing.T, c simSetup) comparison {
+// compareWithReports also runs the policy that follows reported load.
+func compareWithReports(t *testing.T, c simSetup) comparison {
 	t.Helper()
 	r := compare(t, c)
-	r.lr = c.run(makeLeastReported)
-	t.Logf("least reported    %v", r.lr)
+	r.leastReported = c.run(makeLeastReported)
+	t.Logf("least reported    %v", r.leastReported)
 	return r
 }
 
@@ -43,87 +44,87 @@
 	c := nineEndpoints(nil)
 	c.rate = 2295 // 85% of capacity
 	r := compare(t, c)
-	if r.ours.percentile(.99) >= r.rr.percentile(.99) {
+	if r.picker.percentile(.99) >= r.roundRobin.percentile(.99) {
 		t.Error("p99 is no better than that of round robin")
 	}
 }
 
-// Users see a burst of errors although most backend servers are well. One
-// backend server loses its store and fails each call within a millisecond. It
-// looks idle, so whoever goes by open calls sends it more and more of them.
+// One backend server loses its store and fails each call within a millisecond. It seems idle, so a
+// policy that follows open calls sends it more and more of them, and callers see a burst of errors
+// although most backend servers are healthy.
 func TestCompareFastFailing(t *testing.T) {
 	r := compare(t, nineEndpoints(func(e *simEndpoint) { e.failFrom = simFault }))
-	if r.ours.errors*4 >= r.rr.errors || r.ours.errors*4 >= r.lo.errors {
+	if r.picker.errors*4 >= r.roundRobin.errors || r.picker.errors*4 >= r.leastOutstanding.errors {
 		t.Error("errors are not below a quarter of those of each baseline")
 	}
 }
 
-// Users wait although other backend servers are free. One backend server runs
-// at a third of its speed, and its reports say for good that it is idle.
-// Whoever believes them sends it everything.
-func TestCompareStaleZero(t *testing.T) {
-	r := compareReports(t, nineEndpoints(func(e *simEndpoint) { e.zeroLoad, e.slow = true, 3 }))
-	if r.ours.share(0) >= r.rr.share(0) {
-		t.Error("the endpoint that seems idle draws more than with round robin")
+// One backend server runs at a third of its speed, and always reports that it is idle. A policy
+// that follows reported load sends it every call, and callers wait although other backend servers
+// are free.
+func TestCompareFalseIdleReports(t *testing.T) {
+	r := compareWithReports(t, nineEndpoints(func(e *simEndpoint) { e.zeroLoad, e.slow = true, 3 }))
+	if r.picker.share(0) >= r.roundRobin.share(0) {
+		t.Error("the endpoint that seems idle gets more calls than with round robin")
 	}
-	if r.ours.percentile(.99) >= r.rr.percentile(.99) || r.ours.percentile(.99) >= r.lr.percentile(.99) {
+	if r.picker.percentile(.99) >= r.roundRobin.percentile(.99) || r.picker.percentile(.99) >= r.leastReported.percentile(.99) {
 		t.Error("p99 is no better than that of the baselines")
 	}
 }
 
-// As above, but the backend server is as fast as the others and only its reports
-// are wrong.
+// As above, but the backend server is as fast as the others and only its reports are wrong.
 func TestCompareOnlyReportsWrong(t *testing.T) {
-	r := compareReports(t, nineEndpoints(func(e *simEndpoint) { e.zeroLoad = true }))
-	if r.ours.share(0) >= r.rr.share(0)*5/4 {
-		t.Error("the wrong reports draw calls")
+	r := compareWithReports(t, nineEndpoints(func(e *simEndpoint) { e.zeroLoad = true }))
+	if r.picker.share(0) >= r.roundRobin.share(0)*5/4 {
+		t.Error("the wrong reports attract calls")
 	}
-	if r.ours.errors > 0 || r.ours.percentile(.99) >= r.lr.percentile(.99) {
-		t.Error("worse than believing the reports")
+	if r.picker.errors > 0 || r.picker.percentile(.99) >= r.leastReported.percentile(.99) {
+		t.Error("worse than following the reports")
 	}
 }
 
-// Some users wait ten times as long. One backend server is slow, but answers.
+// One backend server answers ten times slower than the others, and some callers wait that much
+// longer.
 func TestCompareSlow(t *testing.T) {
 	r := compare(t, nineEndpoints(func(e *simEndpoint) { e.slow = 10 }))
-	if r.ours.percentile(.99)*2 >= r.rr.percentile(.99) {
+	if r.picker.percentile(.99)*2 >= r.roundRobin.percentile(.99) {
 		t.Error("p99 is not below half of that of round robin")
 	}
-	if r.ours.errors > r.rr.errors {
+	if r.picker.errors > r.roundRobin.errors {
 		t.Error("more errors than round robin")
 	}
 }
 
-// Users wait after a VM was replaced. The new backend server is eight times
-// slower while its caches are empty, and gets its full part at once.
+// A replaced backend server is eight times slower while its caches are empty. Calls wait there if
+// it gets its full share at once.
 func TestCompareColdStart(t *testing.T) {
 	r := compare(t, nineEndpoints(func(e *simEndpoint) { e.ReadySince, e.coldFor = simStart, 3*time.Second }))
-	if r.ours.percentile(.99) >= r.rr.percentile(.99) {
+	if r.picker.percentile(.99) >= r.roundRobin.percentile(.99) {
 		t.Error("p99 is no better than that of round robin")
 	}
 }
 
-// Users of one data centre are refused while the other two have room. Two of
-// its three endpoints are gone, and the one left can't carry its callers.
-func TestCompareDataCentreShort(t *testing.T) {
+// Two of a data centre's three endpoints are gone, and the remaining one can't carry the load of
+// its callers. They must not be refused while two other data centres have free capacity.
+func TestCompareDataCentreOverloaded(t *testing.T) {
 	eps := slices.Concat(simEndpoints("a", 0, 1), simEndpoints("b", 1, 3), simEndpoints("c", 4, 3))
 	dcs := []string{"a", "b", "c"}
 	c := simSetup{eps: eps, rate: 1260, length: simLength, entryDC: func(i int) string { return dcs[i%3] }}
 	r := compare(t, c)
 	onlyOwn := c.run(makeOwnOnly)
 	t.Logf("own only          %v", onlyOwn)
-	if r.ours.errors > 0 || onlyOwn.errors == 0 {
-		t.Errorf("errors: %d, and %d without spill", r.ours.errors, onlyOwn.errors)
+	if r.picker.errors > 0 || onlyOwn.errors == 0 {
+		t.Errorf("errors: %d, and %d without spill", r.picker.errors, onlyOwn.errors)
 	}
-	if r.ours.far*2 >= r.rr.far {
+	if r.picker.remote*2 >= r.roundRobin.remote {
 		t.Error("calls to other data centres are not below half of those of round robin")
 	}
-	if r.ours.percentile(.99) >= r.rr.percentile(.99) {
+	if r.picker.percentile(.99) >= r.roundRobin.percentile(.99) {
 		t.Error("p99 is no better than that of round robin")
 	}
 }
 
-// makeOwnOnly never spills.
+// makeOwnOnly builds a policy that never spills.
 func makeOwnOnly(entry int, dc string, eps []Endpoint) simPolicy {
 	var own []Endpoint
 	for _, e := range eps {
@@ -131,61 +132,60 @@
 			own = append(own, e)
 		}
 	}
-	o := makeOurs(entry, dc, own).(*ours)
+	o := makePicker(entry, dc, own).(*pickerPolicy)
 	for i, e := range eps {
 		o.index[e.ID] = i
 	}
 	return o
 }
 
-// Most calls fail although three backend servers of nine are well: the other
-// six fail at once. The cap lets only four be ejected, and the two that stay
-// must not draw calls by their quick failures.
-func TestCompareMostLookDead(t *testing.T) {
+// Six of nine backend servers fail calls at once. The ejection cap allows four ejections; the two
+// that stay must not attract calls by failing fast.
+func TestCompareMostEndpointsFail(t *testing.T) {
 	c := nineEndpoints(nil)
-	c.rate, c.length = 540, 3*simLength // 60% of what the three carry
+	c.rate, c.length = 540, 3*simLength // 60% of the capacity of the healthy three
 	for _, e := range c.eps[:6] {
 		e.failFrom = simFault
 	}
 	r := compare(t, c)
-	if r.ours.errors*2 >= r.rr.errors {
+	if r.picker.errors*2 >= r.roundRobin.errors {
 		t.Error("errors are not below half of those of round robin")
 	}
 }
 
-// Each node sees few calls of a service, as at 1,200 nodes and 61 services. It
-// must not send them all to the endpoint that was a little better once.
+// Each node sends few calls to a service, as with 1,200 nodes and 61 services. It must not send all
+// of them to the endpoint that was once slightly better.
 func TestCompareSparse(t *testing.T) {
 	c := nineEndpoints(nil)
 	c.rate, c.entries = 2295, 120
 	r := compare(t, c)
-	if r.ours.percentile(.99) >= r.lo.percentile(.99)*11/10 {
+	if r.picker.percentile(.99) >= r.leastOutstanding.percentile(.99)*11/10 {
 		t.Error("p99 is more than a tenth above that of least outstanding")
 	}
 }
 
-// As above, with one endpoint that fails at once.
+// As above, with one endpoint that fails calls at once.
 func TestCompareSparseFastFailing(t *testing.T) {
 	c := nineEndpoints(func(e *simEndpoint) { e.failFrom = simFault })
 	c.entries, c.length = 120, 2*simLength
 	r := compare(t, c)
-	if r.ours.errors*2 >= r.rr.errors || r.ours.errors*2 >= r.lo.errors {
+	if r.picker.errors*2 >= r.roundRobin.errors || r.picker.errors*2 >= r.leastOutstanding.errors {
 		t.Error("errors are not below half of those of each baseline")
 	}
 }
 
-// Lookups and archive pulls share endpoints. An endpoint that happened to get
-// more of the long calls looks slow, but is not.
+// Short lookups and long archive pulls share endpoints. An endpoint that happened to get more of
+// the long calls seems slow, but is not.
 func TestCompareMixedLengths(t *testing.T) {
 	c := nineEndpoints(nil)
-	c.rate, c.mixed = 970, true // 70% of what nine carry with these calls
+	c.rate, c.mixed = 970, true // 70% of the capacity with these calls
 	r := compare(t, c)
-	if r.ours.percentile(.99) >= r.lo.percentile(.99)*11/10 {
+	if r.picker.percentile(.99) >= r.leastOutstanding.percentile(.99)*11/10 {
 		t.Error("p99 is more than a tenth above that of least outstanding")
 	}
 }
 
-// subsetSizes are few in the usual run, and more when figures are wanted.
+// subsetSizes returns few sizes in the usual run, and more when run with several seeds.
 func subsetSizes() []int {
 	if *simSeeds == 1 {
 		return []int{1, 2}
@@ -193,15 +193,15 @@
 	return []int{1, 2, 3, 4, 8, 20}
 }
 
-// The load of a node is small beside that of the mesh: 240 entry nodes share 20
-// endpoints, one of them slow. A subset of one leaves no choice.
+// 240 entry nodes share 20 endpoints, one of them slow. A subset of one endpoint leaves no
+// alternative.
 func TestCompareSubsetSizes(t *testing.T) {
 	c := simSetup{eps: simEndpoints("a", 0, 20), rate: 3600, length: simLength, entries: 240}
 	c.eps[0].slow = 10
 	var p99 []time.Duration
 	for _, k := range subsetSizes() {
-		r := c.run(makeOursWith(Options{MinSubset: k, Connections: 1}, 240))
-		t.Logf("subset of %2d: %v; entry nodes an endpoint %d", k, r, 240*k/20)
+		r := c.run(makePickerWith(Options{MinSubset: k, Connections: 1}, 240))
+		t.Logf("subset of %2d: %v; %d entry nodes per endpoint", k, r, 240*k/20)
 		p99 = append(p99, r.percentile(.99))
 	}
 	if p99[1] >= p99[0] {
--- a/internal/route/done.go
+++ b/internal/route/done.go
@@ -6,11 +6,11 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// refusedFor is how long an endpoint that said it takes no calls is left out.
-// By then its record has reached this node.
-const refusedFor = 3 * time.Second
+// closedFor is how long an endpoint that refuses all calls is left out. By then its new membership
+// record has reached this node.
+const closedFor = 3 * time.Second
 
-// Done takes in how the attempt ended.
+// Done records how the attempt ended.
 func (c Choice) Done(now time.Time, r Report) {
 	if c.s == nil {
 		return
@@ -21,91 +21,91 @@
 func (p *Picker) done(c Choice, now int64, r Report) {
 	s := c.s
 	own := s.outstanding.Add(-1)
-	verdict := judge(r)
+	result := classify(r)
 	if r.Refused == "" || r.Refused == call.ReasonLinkFull {
 		s.linkWait.set(float64(r.LinkWait)/float64(time.Millisecond), now)
 	}
-	if verdict != verdictFailed {
-		// What fails at once is idle, and says so; it must not lower the
-		// mean that the others are compared to.
-		p.takeLoad(s, own, now, r.Load)
+	if result != resultFailure {
+		// An endpoint that fails calls at once reports that it is idle, which must not lower the
+		// mean that the others are compared with.
+		p.recordLoad(s, own, now, r.Load)
 	}
-	switch verdict {
-	case verdictFailed:
+	switch result {
+	case resultFailure:
 		s.failures.add(1, failureWeight, now)
 		s.results.Add(1)
-	case verdictWell:
+	case resultSuccess:
 		s.failures.add(0, failureWeight, now)
 		s.results.Add(1)
-		p.takeLatency(s, now, r.Latency)
-		p.noteFree(s, now, r.Load)
-	case verdictFull:
-		p.takeFull(s, now)
-	case verdictClosed:
-		s.refusedTil.Store(now + refusedFor.Milliseconds())
+		p.recordLatency(s, now, r.Latency)
+		p.recordFreeSlot(s, now, r.Load)
+	case resultFull:
+		p.recordFull(s, now)
+	case resultClosed:
+		s.refusedUntil.Store(now + closedFor.Milliseconds())
 	}
 	if c.trial {
-		p.endTrial(s, now, verdict)
+		p.endTrial(s, now, result)
 		return
 	}
-	if verdict == verdictFailed {
-		p.considerEjection(s, now)
+	if result == resultFailure {
+		p.ejectIfFailing(s, now)
 	}
 }
 
-// verdict is what the end of an attempt says of the endpoint.
-type verdict int
+// attemptResult is what the end of an attempt shows about the endpoint.
+type attemptResult int
 
 const (
-	verdictNone   verdict = iota // nothing: the cause lies with the call
-	verdictWell                  // it answered
-	verdictFailed                // it failed, or could not be reached
-	verdictFull                  // it has no room
-	verdictClosed                // it takes no calls
+	resultIgnored attemptResult = iota // nothing: the cause lies with the call
+	resultSuccess                      // the endpoint answered
+	resultFailure                      // the call failed, or the endpoint was unreachable
+	resultFull                         // the endpoint has no free capacity
+	resultClosed                       // the endpoint accepts no calls
 )
 
-func judge(r Report) verdict {
+func classify(r Report) attemptResult {
 	switch r.Refused {
 	case "":
 	case call.ReasonUnreachable:
-		return verdictFailed
+		return resultFailure
 	case call.ReasonBusy, call.ReasonOverloaded, call.ReasonOverShare, call.ReasonBackend:
-		return verdictFull
+		return resultFull
 	case call.ReasonDraining, call.ReasonNotHeld, call.ReasonNotReady:
-		return verdictClosed
+		return resultClosed
 	default:
-		return verdictNone
+		return resultIgnored
 	}
 	if r.Cancelled {
-		return verdictNone
+		return resultIgnored
 	}
 	if r.Failed || r.Outcome == call.Unknown {
-		return verdictFailed
+		return resultFailure
 	}
 	if r.Outcome == call.Ran {
-		return verdictWell
+		return resultSuccess
 	}
-	return verdictNone
+	return resultIgnored
 }
 
-// takeLoad keeps the part of the reported load that is not this node's own
-// calls; those are counted exactly and at once.
-func (p *Picker) takeLoad(s *state, own, now int64, l Load) {
+// recordLoad stores the reported load without this node's own calls, which are counted exactly in
+// outstanding.
+func (p *Picker) recordLoad(s *state, own, now int64, l Load) {
 	if !l.Present {
 		return
 	}
-	others := float64(max(0, int64(l.Busy)-own))
-	s.others.set(others, now)
-	p.others.add(others/s.ep.Load().slots(), othersWeight, now)
+	otherLoad := float64(max(0, int64(l.Busy)-own))
+	s.otherLoad.set(otherLoad, now)
+	p.otherLoad.add(otherLoad/s.ep.Load().slots(), serviceWeight, now)
 }
 
-// takeFull counts every slot as busy: the endpoint said so.
-func (p *Picker) takeFull(s *state, now int64) {
-	s.others.set(s.ep.Load().slots(), now)
+// recordFull counts every slot as busy.
+func (p *Picker) recordFull(s *state, now int64) {
+	s.otherLoad.set(s.ep.Load().slots(), now)
 }
 
-func (p *Picker) takeLatency(s *state, now int64, d time.Duration) {
+func (p *Picker) recordLatency(s *state, now int64, d time.Duration) {
 	ms := float64(d) / float64(time.Millisecond)
 	s.latency.add(ms, latencyWeight, now)
-	p.latency.add(ms, othersWeight, now)
+	p.latency.add(ms, serviceWeight, now)
 }
--- a/internal/route/endpoint.go
+++ b/internal/route/endpoint.go
@@ -6,43 +6,42 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// Endpoint is one backend server of the service, as the membership view shows
-// it.
+// Endpoint is one backend server of the service, as the membership view shows it.
 type Endpoint struct {
-	ID         string // unique in the mesh and kept while the backend server lives
+	ID         string // unique in the mesh, stable for the life of the backend server
 	VM         string
 	DataCentre string
 	Region     string
-	Addr       string // the address for calls of the node beside it
-	Slots      int    // as announced; less than one counts as one
+	Addr       string // call address of the node on the same VM
+	Slots      int    // as announced; less than 1 counts as 1
 	Ready      bool
 	Draining   bool
-	// Suspect says that the membership has not heard from the VM lately.
+	// Suspect means that the membership has had no recent sign of life from the VM.
 	Suspect bool
-	// Canary says that the endpoint takes a few calls only, by which its version is tried.
+	// Canary means that the endpoint's version is on trial and gets a small share of the calls.
 	Canary bool
-	// ReadySince is when the backend server became ready, by the clock of
-	// its own node; zero when not known.
+	// ReadySince is when the backend server became ready, by its own node's clock. It is zero if
+	// unknown.
 	ReadySince time.Time
 }
 
 func (e *Endpoint) slots() float64 { return float64(max(1, e.Slots)) }
 
-// Load is what an answer told of the load of the endpoint that gave it.
+// Load is the load that an endpoint reports with an answer.
 type Load struct {
 	Busy    int
 	Slots   int
-	Present bool // false when the answer told nothing
+	Present bool // false if the answer carried no report
 }
 
-// Report is how an attempt ended.
+// Report describes how an attempt ended.
 type Report struct {
 	Outcome call.Outcome
-	// Failed says that the answer was a server error or was broken off.
+	// Failed means that the answer was a server error or was cut short.
 	Failed bool
-	// Cancelled says that the caller left before there was an answer.
+	// Cancelled means that the caller left before the answer came.
 	Cancelled bool
-	// Refused is the reason of a refusal, empty when there was none.
+	// Refused is the reason of a refusal, or empty.
 	Refused call.Reason
 	Latency time.Duration
 	Load    Load
@@ -50,12 +49,12 @@
 	LinkWait time.Duration
 }
 
-// EndpointStatus is what a Picker holds true of an endpoint, for operators.
+// EndpointStatus is the state of an endpoint in a Picker, for operators.
 type EndpointStatus struct {
 	Endpoint     Endpoint
 	InSubset     bool // this node sends calls to it
 	Ejected      bool
-	NextTrial    time.Time // when an ejected endpoint gets its next call
+	NextTrial    time.Time // when an ejected endpoint gets its next trial call
 	SlowStarting bool
 	Outstanding  int
 	FailureRate  float64 // recent share of failed calls, 0 to 1
--- a/internal/route/picker.go
+++ b/internal/route/picker.go
@@ -9,61 +9,60 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// Picker picks endpoints of one service for one node. It is safe for
-// concurrent use; Pick and Choice.Done take no lock unless an endpoint is
-// ejected or returns.
+// Picker picks endpoints of one service for one node. It is safe for concurrent use. Pick and
+// Choice.Done take no lock unless an endpoint is ejected or readmitted.
 type Picker struct {
-	opt       Options
-	slowStart int64 // milliseconds, as are the next two
-	loadAge   int64
-	forget    int64
-
-	epoch   atomic.Pointer[time.Time] // a millisecond before the first Update
-	seed    atomic.Uint64
-	turns   atomic.Uint64
-	latency average // mean latency of the service, milliseconds
-	others  average // mean load by other nodes, per slot
-	entries atomic.Int64
-	free    hints
+	opt          Options
+	slowStart    int64 // milliseconds, as are the next two
+	loadHalfLife int64
+	halfLife     int64
+
+	epoch      atomic.Pointer[time.Time] // one millisecond before the first Update
+	seed       atomic.Uint64
+	turns      atomic.Uint64
+	latency    average // mean latency of the service in milliseconds
+	otherLoad  average // mean load from other nodes, per slot
+	entryNodes atomic.Int64
+	freeSlots  hints
 
 	table atomic.Pointer[table]
 
-	mu     sync.Mutex // guards what follows; never held across I/O
+	mu     sync.Mutex // guards the fields below; never held across I/O
 	states map[string]*state
-	order  []*state // all of them, by preference
-	update uint64   // counts the updates
+	order  []*state // all states, by preference
+	update uint64   // number of updates so far
 }
 
-// tier is how far an endpoint is from this node.
+// tier is the locality of an endpoint relative to this node.
 type tier int
 
 const (
 	tierOwn tier = iota // own data centre
 	tierRegion
 	tierFar
-	tiers
+	numTiers
 )
 
-// table is the immutable picture that Pick reads.
+// table is the immutable snapshot that Pick reads.
 type table struct {
-	near    [tiers][]*state // the node's subset, without ejected endpoints
-	own     []*state        // those of near on this node's VM
+	subset  [numTiers][]*state // the node's subset, without ejected endpoints
+	sameVM  []*state           // endpoints of the subset on this node's VM
 	ejected []*state
-	// canaries get a part of the calls of their own, and are in none of the lists above.
-	canaries [tiers][]*state
-	tries    bool     // there are canaries
-	all      []*state // every endpoint of the service, in order of preference
+	// canaries get their own share of the calls and are in none of the lists above.
+	canaries    [numTiers][]*state
+	hasCanaries bool
+	all         []*state // every endpoint of the service, by preference
 }
 
-// New returns a Picker that knows no endpoints yet.
+// New returns a Picker without endpoints.
 func New(o Options) *Picker {
 	o = o.withDefaults()
 	p := &Picker{
-		opt:       o,
-		slowStart: o.SlowStart.Milliseconds(),
-		loadAge:   max(1, o.LoadHalfLife.Milliseconds()),
-		forget:    max(1, o.ObservationHalfLife.Milliseconds()),
-		states:    map[string]*state{},
+		opt:          o,
+		slowStart:    o.SlowStart.Milliseconds(),
+		loadHalfLife: max(1, o.LoadHalfLife.Milliseconds()),
+		halfLife:     max(1, o.ObservationHalfLife.Milliseconds()),
+		states:       map[string]*state{},
 	}
 	p.seed.Store(o.Seed)
 	p.turns.Store(p.random())
@@ -71,14 +70,13 @@
 	return p
 }
 
-// SetEntryNodes tells how many nodes of this node's own data centre may send
-// calls to the service; the size of the subset follows from it. The caller
-// counts the nodes of the data centre in its membership view, for every node
-// may be an entry node. It takes effect with the next Update; until it is
-// told, the node uses every endpoint.
-func (p *Picker) SetEntryNodes(n int) { p.entries.Store(int64(n)) }
+// SetEntryNodes sets how many nodes of this node's data centre may send calls to the service, which
+// determines the subset size. The caller counts the nodes of the data centre in its membership
+// view, since every node may be an entry node. The count takes effect with the next Update. Until
+// it is set, the node uses every endpoint.
+func (p *Picker) SetEntryNodes(n int) { p.entryNodes.Store(int64(n)) }
 
-// Ejected returns how many endpoints are left out for their failures.
+// Ejected returns the number of ejected endpoints.
 func (p *Picker) Ejected() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +89,7 @@
 	return n
 }
 
-// Choice is a picked endpoint. Done must be called once for each.
+// Choice is a picked endpoint. Done must be called exactly once.
 type Choice struct {
 	p     *Picker
 	s     *state
@@ -99,17 +97,17 @@
 	trial bool
 }
 
-// Endpoint returns the picked endpoint; it must not be changed.
+// Endpoint returns the picked endpoint, which must not be modified.
 func (c Choice) Endpoint() *Endpoint { return c.ep }
 
-// Trial reports whether the call is to show if an ejected endpoint is well.
+// Trial reports whether the call is a trial of an ejected endpoint.
 func (c Choice) Trial() bool { return c.trial }
 
-// millis turns a moment into the Picker's own count; it is at least one.
+// millis converts a time to milliseconds since the Picker's epoch, at least 1.
 //
-// It goes by the monotonic clock. The time of day may jump by seconds: back, all
-// that was observed would not age for that long, and an ejected endpoint not be
-// tried; ahead, all of it would be forgotten at once.
+// It uses the monotonic clock. The wall clock may jump by seconds: after a jump back, observations
+// would not age and no trial would be due for that long; after a jump ahead, all observations would
+// be outdated at once.
 func (p *Picker) millis(t time.Time) int64 {
 	epoch := p.epoch.Load()
 	if epoch == nil {
@@ -118,8 +116,8 @@
 	return max(1, t.Sub(*epoch).Milliseconds())
 }
 
-// moment is the inverse of millis.
-func (p *Picker) moment(ms int64) time.Time {
+// timeAt is the inverse of millis.
+func (p *Picker) timeAt(ms int64) time.Time {
 	epoch := p.epoch.Load()
 	if epoch == nil {
 		return time.Time{}
@@ -129,8 +127,8 @@
 
 const splitMixStep = 0x9e3779b97f4a7c15
 
-// random returns the next random number. With a seed it is a SplitMix64
-// sequence, which needs one atomic addition and no lock.
+// random returns the next random number. With a seed it is a SplitMix64 sequence, which needs one
+// atomic addition and no lock.
 func (p *Picker) random() uint64 {
 	if p.opt.Seed == 0 {
 		return rand.Uint64()
@@ -145,10 +143,9 @@
 
 func (p *Picker) randomFloat() float64 { return float64(p.random()>>11) / (1 << 53) }
 
-func noEndpoint() error {
-	return &call.Refusal{Reason: call.ReasonNoEndpoint, RetryAfter: comeBack}
+func noEndpointRefusal() error {
+	return &call.Refusal{Reason: call.ReasonNoEndpoint, RetryAfter: noEndpointRetryAfter}
 }
 
-// comeBack is what a caller is told when no endpoint is known: about the time
-// in which a new announcement spreads.
-const comeBack = 2 * time.Second
+// noEndpointRetryAfter is about the time in which the announcement of a new endpoint spreads.
+const noEndpointRetryAfter = 2 * time.Second
--- a/internal/route/picker_test.go
+++ b/internal/route/picker_test.go
@@ -10,8 +10,8 @@
 )
 
 var (
-	well   = Report{Outcome: call.Ran, Latency: time.Millisecond}
-	failed = Report{Outcome: call.Ran, Failed: true}
+	succeeded = Report{Outcome: call.Ran, Latency: time.Millisecond}
+	failed    = Report{Outcome: call.Ran, Failed: true}
 )
 
 func refused(r call.Reason) Report { return Report{Outcome: call.NotRun, Refused: r} }
@@ -35,8 +35,8 @@
 	return p
 }
 
-// picks counts where n calls in a row go, each answered at once.
-func picks(t *testing.T, p *Picker, now time.Time, n int, report func(id string) Report) map[string]int {
+// pickMany makes n calls in a row, each answered at once, and counts them by endpoint.
+func pickMany(t *testing.T, p *Picker, now time.Time, n int, report func(id string) Report) map[string]int {
 	t.Helper()
 	got := map[string]int{}
 	for range n {
@@ -51,7 +51,7 @@
 	return got
 }
 
-func allWell(string) Report { return well }
+func allSucceed(string) Report { return succeeded }
 
 func TestPickNone(t *testing.T) {
 	closed := endpoints(2)
@@ -75,35 +75,34 @@
 		}
 	}
 	if _, err := p.Pick(simStart, []string{"e0", "e1"}); err != nil {
-		t.Errorf("with all tried: %v", err)
+		t.Errorf("all endpoints tried: %v", err)
 	}
 }
 
-// A caller gets an error for a call that other endpoints would have run. A
-// backend server announces that it drains; the endpoint hears it before the
-// entry nodes do and refuses. They must not send it more.
-func TestPickLeavesOutWhatRefusesAsDraining(t *testing.T) {
+// A backend server that drains refuses calls before the entry nodes receive its announcement. After
+// one refusal they must send it no more calls, since other endpoints would run them.
+func TestPickSkipsDrainingEndpoint(t *testing.T) {
 	p := picker(Options{}, endpoints(3))
 	report := func(id string) Report {
 		if id == "e0" {
 			return refused(call.ReasonDraining)
 		}
-		return well
+		return succeeded
 	}
-	if got := picks(t, p, simStart, 100, report); got["e0"] != 1 {
-		t.Errorf("the draining endpoint got %d calls, not one", got["e0"])
+	if got := pickMany(t, p, simStart, 100, report); got["e0"] != 1 {
+		t.Errorf("the draining endpoint got %d calls, want 1", got["e0"])
 	}
 	eps := endpoints(3)
 	eps[1].Draining = true
 	p.Update(simStart, eps)
-	if got := picks(t, p, simStart, 100, allWell); got["e0"]+got["e1"] != 0 {
+	if got := pickMany(t, p, simStart, 100, allSucceed); got["e0"]+got["e1"] != 0 {
 		t.Errorf("draining endpoints got calls: %v", got)
 	}
 }
 
-func TestRefusalsOfTheCallDontCount(t *testing.T) {
+func TestCallSpecificRefusalsDoNotCount(t *testing.T) {
 	p := picker(Options{}, endpoints(2))
-	picks(t, p, simStart, 100, func(string) Report { return refused(call.ReasonQuarantined) })
+	pickMany(t, p, simStart, 100, func(string) Report { return refused(call.ReasonQuarantined) })
 	for _, s := range p.Endpoints(simStart) {
 		if s.Ejected || s.FailureRate != 0 || s.Outstanding != 0 {
 			t.Errorf("%+v", s)
@@ -111,25 +110,25 @@
 	}
 }
 
-// Users see errors long after a backend server broke, or none at all after it
-// was mended. Its calls fail; it must be left out, get single calls as trials,
-// and come back once these are well.
-func TestEjectAndReturn(t *testing.T) {
+// An endpoint whose calls fail must be ejected, get single calls as trials, and be readmitted after
+// they succeed. Otherwise callers see errors long after the fault, or the endpoint stays unused
+// after its repair.
+func TestEjectAndReadmit(t *testing.T) {
 	p := picker(Options{}, endpoints(4))
 	bad := "e2"
 	report := func(id string) Report {
 		if id == bad {
 			return failed
 		}
-		return well
+		return succeeded
 	}
 	now := simStart
 	for range minResults {
 		c, _ := p.Pick(now, []string{"e0", "e1", "e3"})
 		c.Done(now, report(c.Endpoint().ID))
 	}
-	if got := picks(t, p, now, 200, report); got[bad] != 0 {
-		t.Fatalf("ejected, and got %d calls", got[bad])
+	if got := pickMany(t, p, now, 200, report); got[bad] != 0 {
+		t.Fatalf("the ejected endpoint got %d calls", got[bad])
 	}
 	now = now.Add(DefaultBaseEjectionTime)
 	c, err := p.PickIdempotent(now, nil)
@@ -140,32 +139,32 @@
 		t.Error("two trials at once")
 	}
 	c.Done(now, failed)
-	if got := picks(t, p, now.Add(time.Second), 200, report); got[bad] != 0 {
+	if got := pickMany(t, p, now.Add(time.Second), 200, report); got[bad] != 0 {
 		t.Errorf("got %d calls right after a failed trial", got[bad])
 	}
 	now = now.Add(time.Minute)
-	for range trialsToReturn {
-		now = now.Add(trialGap)
+	for range trialsToReadmit {
+		now = now.Add(successTrialDelay)
 		c, _ := p.PickIdempotent(now, nil)
 		if !c.Trial() {
 			t.Fatal("no trial")
 		}
-		c.Done(now, well)
+		c.Done(now, succeeded)
 	}
 	st := p.Endpoints(now)[2]
 	if st.Ejected || !st.SlowStarting {
-		t.Errorf("after good trials: %+v", st)
+		t.Errorf("after successful trials: %+v", st)
 	}
-	if got := picks(t, p, now.Add(DefaultSlowStart), 400, allWell); got[bad] == 0 {
-		t.Error("it never came back")
+	if got := pickMany(t, p, now.Add(DefaultSlowStart), 400, allSucceed); got[bad] == 0 {
+		t.Error("the readmitted endpoint got no calls")
 	}
 }
 
-// Every call is refused although some would have been run. All endpoints look
-// dead because a store they share is down; the cap keeps half of them in.
+// A shared store is down and all endpoints seem dead. The cap must keep half of them in use, since
+// some calls would still run.
 func TestEjectionIsCapped(t *testing.T) {
 	p := picker(Options{}, endpoints(8))
-	picks(t, p, simStart, 1000, func(string) Report { return failed })
+	pickMany(t, p, simStart, 1000, func(string) Report { return failed })
 	ejected := 0
 	for _, s := range p.Endpoints(simStart) {
 		if s.Ejected {
@@ -177,9 +176,9 @@
 	}
 }
 
-// A trial call may be one that must not be sent twice. Calls that can be
-// repeated go first; others only when none came for a long time.
-func TestTrialsPreferRepeatableCalls(t *testing.T) {
+// A trial may fail, so idempotent calls are preferred. Others may be the trial only if none came
+// for a long time.
+func TestTrialsPreferIdempotentCalls(t *testing.T) {
 	p := picker(Options{}, endpoints(2))
 	for range minResults {
 		c, _ := p.Pick(simStart, []string{"e0"})
@@ -187,11 +186,11 @@
 	}
 	now := simStart.Add(DefaultBaseEjectionTime)
 	if c, _ := p.Pick(now, nil); c.Trial() {
-		t.Error("a call that may not be repeated was the trial")
+		t.Error("a call that is not idempotent was the trial")
 	}
 	now = simStart.Add(overdueFactor * DefaultBaseEjectionTime)
 	if c, _ := p.Pick(now, nil); !c.Trial() {
-		t.Error("an overdue trial was not made")
+		t.Error("an overdue trial did not take place")
 	}
 }
 
@@ -199,30 +198,30 @@
 	eps := endpoints(4)
 	p := picker(Options{}, eps)
 	now := simStart.Add(time.Minute)
-	eps[3].ReadySince = now.Add(time.Hour) // a clock far ahead
+	eps[3].ReadySince = now.Add(time.Hour) // the other node's clock is far ahead
 	p.Update(now, eps)
-	cold := picks(t, p, now, 400, allWell)["e3"]
-	warm := picks(t, p, now.Add(DefaultSlowStart), 400, allWell)["e3"]
+	cold := pickMany(t, p, now, 400, allSucceed)["e3"]
+	warm := pickMany(t, p, now.Add(DefaultSlowStart), 400, allSucceed)["e3"]
 	if cold == 0 || cold*3 >= warm {
 		t.Errorf("%d of 400 calls when cold, %d when warm", cold, warm)
 	}
 }
 
-func TestSuspectRanksLower(t *testing.T) {
+func TestSuspectGetsFewerCalls(t *testing.T) {
 	eps := endpoints(4)
 	eps[0].Suspect = true
-	if got := picks(t, picker(Options{}, eps), simStart, 400, allWell); got["e0"] >= 50 {
+	if got := pickMany(t, picker(Options{}, eps), simStart, 400, allSucceed); got["e0"] >= 50 {
 		t.Errorf("the suspect got %d of 400 calls", got["e0"])
 	}
 	for i := range eps {
 		eps[i].Suspect = true
 	}
-	picks(t, picker(Options{}, eps), simStart, 4, allWell)
+	pickMany(t, picker(Options{}, eps), simStart, 4, allSucceed)
 }
 
-// All nodes of a data centre hold connections to all endpoints, and each
-// endpoint has ten times those it can hold. The subset bounds them, changes
-// little with the endpoints, and gives every node some choice.
+// Without subsets all nodes of a data centre connect to all endpoints, ten times the connections
+// that an endpoint can hold. The subset must bound them, change little when endpoints change, and
+// leave every node a choice.
 func TestSubset(t *testing.T) {
 	const nodes, n = 240, 20
 	degree := map[string]int{}
@@ -231,9 +230,9 @@
 		p := New(Options{Self: fmt.Sprint("n", i), DataCentre: "a", Region: "r", Seed: 1})
 		p.SetEntryNodes(nodes)
 		p.Update(simStart, endpoints(n))
-		before := p.table.Load().near[tierOwn]
+		before := p.table.Load().subset[tierOwn]
 		if want := DefaultConnections * n / nodes; len(before) != want {
-			t.Fatalf("subset of %d, not %d", len(before), want)
+			t.Fatalf("subset of %d, want %d", len(before), want)
 		}
 		was := map[string]bool{}
 		for _, s := range before {
@@ -241,7 +240,7 @@
 			was[s.ep.Load().ID] = true
 		}
 		p.Update(simStart, endpoints(n-1))
-		for _, s := range p.table.Load().near[tierOwn] {
+		for _, s := range p.table.Load().subset[tierOwn] {
 			if !was[s.ep.Load().ID] {
 				moved++
 			}
@@ -251,18 +250,18 @@
 	for _, d := range degree {
 		lowest, highest = min(lowest, d), max(highest, d)
 	}
-	t.Logf("entry nodes an endpoint: %d to %d; %d of %d subset places moved with one endpoint", lowest, highest, moved, nodes*10)
+	t.Logf("entry nodes per endpoint: %d to %d; %d of %d subset places changed with one endpoint", lowest, highest, moved, nodes*10)
 	if highest > DefaultConnections*5/4 {
 		t.Errorf("an endpoint is in %d subsets", highest)
 	}
 	if moved > degree["e19"] {
-		t.Errorf("%d places moved when %d nodes lost an endpoint", moved, degree["e19"])
+		t.Errorf("%d places changed when %d nodes lost an endpoint", moved, degree["e19"])
 	}
 }
 
-// A service with one endpoint that is full: each call was sent to it three times,
-// since nobody noticed that there was no other to try.
-func TestTriedAllThatTakeCalls(t *testing.T) {
+// Each call to a service whose only endpoint is full was sent there three times, since no check
+// showed that there was no other endpoint to try.
+func TestTriedAll(t *testing.T) {
 	eps := endpoints(3)
 	eps[2].Draining = true
 	p := picker(Options{}, eps)
--- a/internal/route/ranking_test.go
+++ b/internal/route/ranking_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-func TestPickFixed(t *testing.T) {
+func TestPickByKey(t *testing.T) {
 	p, q := picker(Options{}, endpoints(9)), picker(Options{Seed: 5}, endpoints(9))
 	for key := range uint64(50) {
 		a, err := p.PickByKey(simStart, key, nil)
 		b, _ := q.PickByKey(simStart, key, nil)
 		if id := q.EndpointByKey(simStart, key, nil); id != b.Endpoint().ID {
-			t.Fatalf("picks %s, says %s", b.Endpoint().ID, id)
+			t.Fatalf("picks %s, but EndpointByKey returns %s", b.Endpoint().ID, id)
 		}
 		if err != nil || a.Endpoint().ID != b.Endpoint().ID {
 			t.Fatalf("key %d: %v and %v", key, a.Endpoint(), b.Endpoint())
@@ -53,9 +53,9 @@
 	<-done
 }
 
-// After seven weeks a node sends calls to failing endpoints again. The moments
-// kept with the averages wrap around, and all samples would look old.
-func TestAveragesOverTheWrap(t *testing.T) {
+// The 32-bit timestamps of the averages wrap around after seven weeks. If all samples then seemed
+// old, nodes would send calls to failing endpoints again.
+func TestAveragesAcrossTimestampWrap(t *testing.T) {
 	for _, day := range []int{1, 49, 50, 200} {
 		p := picker(Options{}, endpoints(2))
 		now := simStart.Add(time.Duration(day) * 24 * time.Hour)
@@ -69,57 +69,56 @@
 	}
 }
 
-// Users wait for a slow backend server at a node that has so few calls that none
-// of them overlap: open calls don't show that it is slow, only its answers do.
-func TestSlowAnswersRankLower(t *testing.T) {
+// At a node whose calls don't overlap, the number of open calls doesn't show that a backend server
+// is slow. Its latency must.
+func TestSlowEndpointGetsFewerCalls(t *testing.T) {
 	p := picker(Options{}, endpoints(4))
 	report := func(id string) Report {
-		r := well
+		r := succeeded
 		if id == "e0" {
 			r.Latency *= 20
 		}
 		return r
 	}
-	if got := picks(t, p, simStart, 400, report); got["e0"] >= 50 {
+	if got := pickMany(t, p, simStart, 400, report); got["e0"] >= 50 {
 		t.Errorf("the slow endpoint got %d of 400 calls", got["e0"])
 	}
 }
 
-// Six of eight endpoints fail and the cap keeps them in. Of two drawn both are
-// failing ones more often than not, so the draw goes on.
-func TestDrawsOnWhereManyFail(t *testing.T) {
+// Six of eight endpoints fail and the cap keeps them in. Two random ones are often both failing, so
+// further draws must follow.
+func TestExtraDrawsWhenManyFail(t *testing.T) {
 	p := picker(Options{MaxEjected: 0.01}, endpoints(8))
 	report := func(id string) Report {
 		if id < "e6" {
 			return failed
 		}
-		return well
+		return succeeded
 	}
-	picks(t, p, simStart, 100, report)
-	got := picks(t, p, simStart, 400, report)
-	if well := got["e6"] + got["e7"]; well < 300 {
-		t.Errorf("%d of 400 calls went to the endpoints that are well", well)
+	pickMany(t, p, simStart, 100, report)
+	got := pickMany(t, p, simStart, 400, report)
+	if succeeded := got["e6"] + got["e7"]; succeeded < 300 {
+		t.Errorf("%d of 400 calls went to the healthy endpoints", succeeded)
 	}
 }
 
-func TestLoadOfFailuresIsNotBelieved(t *testing.T) {
+func TestLoadReportedByFailuresIsIgnored(t *testing.T) {
 	p := picker(Options{}, endpoints(4))
-	busy, idle := well, failed
+	busy, idle := succeeded, failed
 	busy.Load = Load{Busy: 6, Slots: 6, Present: true}
 	idle.Load = Load{Busy: 0, Slots: 6, Present: true}
-	picks(t, p, simStart, 100, func(string) Report { return busy })
-	before, _, _ := p.others.load(p.millis(simStart))
-	picks(t, p, simStart, 100, func(string) Report { return idle })
-	if after, _, _ := p.others.load(p.millis(simStart)); after != before {
-		t.Errorf("mean load was %.2f, and %.2f after failures that said they were idle", before, after)
+	pickMany(t, p, simStart, 100, func(string) Report { return busy })
+	before, _, _ := p.otherLoad.load(p.millis(simStart))
+	pickMany(t, p, simStart, 100, func(string) Report { return idle })
+	if after, _, _ := p.otherLoad.load(p.millis(simStart)); after != before {
+		t.Errorf("mean load was %.2f, and %.2f after failures that reported no load", before, after)
 	}
 }
 
-// A class has a rate, and every endpoint an equal part of it. Most callers are in
-// one data centre; a call refused there as over the rate was tried at the other
-// endpoints of the same data centre, whose parts were used up as well, and
-// refused, with most of the rate unused elsewhere.
-func TestPickAnywhereLeavesTheDataCentre(t *testing.T) {
+// Every endpoint has an equal part of a class's rate. A call refused as over the rate was retried
+// only at endpoints of the same data centre, which had most of the callers and whose parts were
+// used up too, while most of the rate was unused elsewhere.
+func TestPickAnywhereUsesOtherDataCentres(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	p := New(Options{Self: "vm", DataCentre: "dc1", Region: "r", Seed: 1})
 	p.Update(now, []Endpoint{
@@ -140,6 +139,6 @@
 		t.Errorf("picked %v", seen)
 	}
 	if c, err := p.PickAnywhere(now, []string{"a", "b", "c"}); err != nil || c.Endpoint().ID == "d" {
-		t.Errorf("when all were tried: %v, %v", c.Endpoint(), err)
+		t.Errorf("all endpoints tried: %v, %v", c.Endpoint(), err)
 	}
 }
--- a/internal/route/sim_test.go
+++ b/internal/route/sim_test.go
@@ -11,22 +11,22 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// This file is a small discrete-event model of one service, for comparing
-// policies in the same run. Time is virtual and all randomness is seeded.
+// This file is a discrete-event model of one service that compares load balancing policies. Time is
+// virtual and all randomness is seeded.
 
 const (
-	simSlots   = 6
-	simMean    = 20 * time.Millisecond
-	simQueue   = 30 // calls an endpoint lets wait before it refuses
-	simHop     = time.Millisecond
-	simFarHop  = 4 * time.Millisecond
-	simEntries = 12
+	simSlots     = 6
+	simMean      = 20 * time.Millisecond
+	simMaxQueue  = 30 // calls that an endpoint queues before it refuses more
+	simHop       = time.Millisecond
+	simRemoteHop = 4 * time.Millisecond
+	simEntries   = 12
 )
 
-// simSeeds trades time for smoother figures.
+// simSeeds is the number of runs; more runs give smoother figures.
 var simSeeds = flag.Int("sim.seeds", 1, "runs of the model for each policy")
 
-// simLength is how long calls come in; faults begin at simFault.
+// simLength is how long calls arrive; faults begin at simFault.
 const (
 	simLength = 2 * time.Second
 	simFault  = 500 * time.Millisecond
@@ -34,18 +34,18 @@
 
 var simStart = time.Unix(1_700_000_000, 0)
 
-// simEndpoint is a backend server of the model and its faults.
+// simEndpoint is a backend server of the model with its faults.
 type simEndpoint struct {
 	Endpoint
 	slow     float64       // factor on the service time
-	coldFor  time.Duration // runs at coldSlow times its service time after ReadySince
-	failFrom time.Duration // from then on fails at once; 0 for never
-	zeroLoad bool          // always reports that it is idle
+	coldFor  time.Duration // service time is multiplied by coldFactor for this long after ReadySince
+	failFrom time.Duration // fails calls at once from this time on; 0 for never
+	zeroLoad bool          // always reports no load
 	busy     int
 	queue    []*simCall
 }
 
-const coldSlow = 8
+const coldFactor = 8
 
 type simCall struct {
 	at     time.Time
@@ -54,7 +54,7 @@
 	token  any
 }
 
-// simPolicy is a way of picking, one instance for each entry node.
+// simPolicy is a load balancing policy, with one instance per entry node.
 type simPolicy interface {
 	pick(now time.Time) (int, any)
 	done(now time.Time, token any, r Report)
@@ -69,12 +69,12 @@
 	out    simResult
 }
 
-// simResult is what one run measured.
+// simResult is the result of one run.
 type simResult struct {
 	latencies []time.Duration
 	calls     int
 	errors    int
-	far       int // calls that left the entry node's data centre
+	remote    int // calls to other data centres
 	picked    []int
 }
 
@@ -90,7 +90,7 @@
 
 func (r simResult) String() string {
 	return fmt.Sprintf("p50 %6.1f ms  p99 %7.1f ms  errors %5.2f%%  to the first endpoint %5.2f%%  other data centre %5.2f%%",
-		ms(r.percentile(.5)), ms(r.percentile(.99)), 100*r.errorShare(), 100*r.share(0), 100*float64(r.far)/float64(r.calls))
+		ms(r.percentile(.5)), ms(r.percentile(.99)), 100*r.errorShare(), 100*r.share(0), 100*float64(r.remote)/float64(r.calls))
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -98,28 +98,28 @@
 // simSetup is one scenario.
 type simSetup struct {
 	eps     []*simEndpoint
-	rate    float64 // calls a second in all
+	rate    float64 // calls per second in total
 	length  time.Duration
 	entries int
-	// entryDC is the data centre of an entry node; nil for one only.
+	// entryDC returns the data centre of an entry node; nil if there is only one.
 	entryDC func(i int) string
 	// mixed makes one call in twenty take twenty times as long.
 	mixed bool
 }
 
-// maker builds the policy of one entry node.
-type maker func(entry int, dc string, eps []Endpoint) simPolicy
+// policyFactory builds the policy of one entry node.
+type policyFactory func(entry int, dc string, eps []Endpoint) simPolicy
 
-// run offers the load of the scenario to a policy, once for each seed, and adds
-// up what came out.
-func (c simSetup) run(m maker) simResult {
+// run applies the load of the scenario to a policy, once per seed, and returns the combined
+// results.
+func (c simSetup) run(m policyFactory) simResult {
 	sum := simResult{picked: make([]int, len(c.eps))}
 	for seed := range uint64(*simSeeds) {
 		r := c.runOnce(m, seed)
 		sum.latencies = append(sum.latencies, r.latencies...)
 		sum.calls += r.calls
 		sum.errors += r.errors
-		sum.far += r.far
+		sum.remote += r.remote
 		for i, n := range r.picked {
 			sum.picked[i] += n
 		}
@@ -128,7 +128,7 @@
 	return sum
 }
 
-func (c simSetup) runOnce(m maker, seed uint64) simResult {
+func (c simSetup) runOnce(m policyFactory, seed uint64) simResult {
 	s := &sim{now: simStart, rng: rand.New(rand.NewPCG(1, seed)), mixed: c.mixed}
 	for _, e := range c.eps {
 		cp := *e
@@ -180,8 +180,8 @@
 	s.out.picked[i]++
 	hop := simHop
 	if c.ep.DataCentre != dc {
-		hop = simFarHop
-		s.out.far++
+		hop = simRemoteHop
+		s.out.remote++
 	}
 	s.at(hop, func(now time.Time) { s.reach(c, hop) })
 }
@@ -193,7 +193,7 @@
 		s.finish(c, hop, Report{Outcome: call.Ran, Failed: true})
 	case e.busy < max(1, e.Slots):
 		s.serve(c, hop)
-	case len(e.queue) < simQueue:
+	case len(e.queue) < simMaxQueue:
 		e.queue = append(e.queue, c)
 	default:
 		s.finish(c, hop, Report{Outcome: call.NotRun, Refused: call.ReasonOverloaded})
@@ -212,7 +212,7 @@
 		d = time.Duration(float64(d) * e.slow)
 	}
 	if e.coldFor > 0 && s.now.Sub(e.ReadySince) < e.coldFor {
-		d *= coldSlow
+		d *= coldFactor
 	}
 	s.at(d, func(now time.Time) {
 		e.busy--
@@ -254,7 +254,7 @@
 	return out
 }
 
-// roundRobin is the plainest baseline.
+// roundRobin is the simplest baseline.
 type roundRobin struct{ n, next int }
 
 func (r *roundRobin) pick(time.Time) (int, any) {
@@ -263,7 +263,7 @@
 }
 func (r *roundRobin) done(time.Time, any, Report) {}
 
-// leastOutstanding picks the endpoint with the fewest of its own calls.
+// leastOutstanding picks the endpoint with the fewest open calls of this entry node.
 type leastOutstanding struct {
 	open []int
 	rng  *rand.Rand
@@ -287,7 +287,7 @@
 }
 func (l *leastOutstanding) done(_ time.Time, token any, _ Report) { l.open[token.(int)]-- }
 
-// leastReported believes what endpoints last said of their load.
+// leastReported picks the endpoint with the lowest reported load.
 type leastReported struct {
 	load []int
 	rng  *rand.Rand
@@ -310,20 +310,20 @@
 }
 func (l *leastReported) done(_ time.Time, token any, r Report) { l.load[token.(int)] = r.Load.Busy }
 
-// ours drives a Picker.
-type ours struct {
+// pickerPolicy picks with a Picker.
+type pickerPolicy struct {
 	p     *Picker
 	index map[string]int
 }
 
-func (o *ours) pick(now time.Time) (int, any) {
+func (o *pickerPolicy) pick(now time.Time) (int, any) {
 	c, err := o.p.Pick(now, nil)
 	if err != nil {
 		panic(err)
 	}
 	return o.index[c.Endpoint().ID], c
 }
-func (o *ours) done(now time.Time, token any, r Report) { token.(Choice).Done(now, r) }
+func (o *pickerPolicy) done(now time.Time, token any, r Report) { token.(Choice).Done(now, r) }
 
 func makeRoundRobin(entry int, _ string, eps []Endpoint) simPolicy {
 	return &roundRobin{n: len(eps), next: entry}
@@ -337,11 +337,11 @@
 	return &leastReported{load: make([]int, len(eps)), rng: rand.New(rand.NewPCG(3, uint64(entry)))}
 }
 
-func makeOurs(entry int, dc string, eps []Endpoint) simPolicy {
-	return makeOursWith(Options{}, 0)(entry, dc, eps)
+func makePicker(entry int, dc string, eps []Endpoint) simPolicy {
+	return makePickerWith(Options{}, 0)(entry, dc, eps)
 }
 
-func makeOursWith(o Options, nodes int) maker {
+func makePickerWith(o Options, nodes int) policyFactory {
 	return func(entry int, dc string, eps []Endpoint) simPolicy {
 		o.Self, o.DataCentre, o.Region, o.Seed = fmt.Sprintf("entry-%d", entry), dc, "r", uint64(entry+1)
 		p := New(o)
@@ -351,6 +351,6 @@
 		for i, e := range eps {
 			index[e.ID] = i
 		}
-		return &ours{p: p, index: index}
+		return &pickerPolicy{p: p, index: index}
 	}
 }
--- a/internal/route/subset.go
+++ b/internal/route/subset.go
@@ -2,11 +2,11 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// spillSubset is how many endpoints of each farther tier a node uses.
-const spillSubset = 4
+// spillSubsetSize is how many endpoints of each farther tier a node uses.
+const spillSubsetSize = 4
 
-// rank is the rendezvous weight of an endpoint for a node. The go-rendezvous
-// module only finds the first endpoint, and a subset needs the first few.
+// rank returns the rendezvous weight of an endpoint for a node. The go-rendezvous module only finds
+// the first endpoint, and a subset needs the first few.
 func rank(node, endpoint string) uint64 {
 	return rankKey(xxhash.Sum64String(node), endpoint)
 }
@@ -20,22 +20,22 @@
 	return h ^ (h >> 33)
 }
 
-// subsetSize returns how many of have endpoints of a tier this node uses.
+// subsetSize returns how many of a tier's total endpoints this node uses.
 //
-// With e endpoints and n entry nodes that use k endpoints each, an endpoint
-// is used by n*k/e nodes. MinSubset goes before the bound on connections: a
-// node with one endpoint has no choice when that endpoint is slow.
-func (p *Picker) subsetSize(t tier, have int) int {
+// With e endpoints and n entry nodes that use k endpoints each, an endpoint is used by n*k/e nodes.
+// MinSubset takes precedence over the bound on connections, since a node with a single endpoint has
+// no alternative when that one is slow.
+func (p *Picker) subsetSize(t tier, total int) int {
 	if t == tierRegion && p.opt.RegionWide {
-		return min(have, p.opt.Connections)
+		return min(total, p.opt.Connections)
 	}
 	if t != tierOwn {
-		return min(have, spillSubset)
+		return min(total, spillSubsetSize)
 	}
-	nodes := int(p.entries.Load())
+	nodes := int(p.entryNodes.Load())
 	if nodes <= 0 {
-		return have
+		return total
 	}
-	k := p.opt.Connections * have / nodes
-	return min(have, max(k, p.opt.MinSubset))
+	k := p.opt.Connections * total / nodes
+	return min(total, max(k, p.opt.MinSubset))
 }
--- a/internal/route/update.go
+++ b/internal/route/update.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Update takes in the endpoints of a new membership view. What was observed of
-// an endpoint is kept by its ID, and dropped with the endpoint.
+// Update replaces the endpoints with those of a new membership view. Observations are kept by
+// endpoint ID and dropped when the endpoint is gone.
 func (p *Picker) Update(now time.Time, eps []Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,11 +30,11 @@
 	if len(p.order) > known {
 		slices.SortFunc(p.order, byPreference)
 	}
-	p.dropGone(len(eps))
+	p.removeAbsent(len(eps))
 	p.rebuild()
 }
 
-// stateOf returns the state of an endpoint, a fresh one at the end of the order if it has none.
+// stateOf returns the state of an endpoint, appending a new one to the order if there is none.
 func (p *Picker) stateOf(e *Endpoint) *state {
 	s := p.states[e.ID]
 	if s == nil {
@@ -45,20 +45,20 @@
 	return s
 }
 
-// dropGone forgets the endpoints that the last update did not hold.
-func (p *Picker) dropGone(held int) {
-	if len(p.order) == held {
+// removeAbsent removes the endpoints that were not in the last update, which had count of them.
+func (p *Picker) removeAbsent(count int) {
+	if len(p.order) == count {
 		return
 	}
 	p.order = slices.DeleteFunc(p.order, func(s *state) bool { return s.update != p.update })
 	maps.DeleteFunc(p.states, func(_ string, s *state) bool { return s.update != p.update })
 }
 
-// startRamp begins the slow start of an endpoint that became ready.
+// startRamp starts the slow start of an endpoint that became ready.
 //
-// ReadySince is by the clock of another node. A clock ahead of ours would hold
-// the endpoint in its slow start for as long as it is ahead, so the start is
-// never later than the moment this node learned of it.
+// ReadySince is by another node's clock. If that clock is ahead, the endpoint would stay in its
+// slow start for as long as the clock is ahead, so the start is never later than the time at which
+// this node received the record.
 func (p *Picker) startRamp(s *state, now time.Time, ms int64, e *Endpoint, first bool) {
 	old := s.ep.Load()
 	if !e.Ready || old == nil && e.ReadySince.IsZero() {
@@ -68,7 +68,7 @@
 		return
 	}
 	if old != nil {
-		s.forgetProcess()
+		s.resetObservations()
 	}
 	age := now.Sub(e.ReadySince)
 	if age >= p.opt.SlowStart {
@@ -77,26 +77,26 @@
 	if !first || age < 0 {
 		age = 0
 	}
-	s.rampFrom.Store(ms - age.Milliseconds())
+	s.rampStart.Store(ms - age.Milliseconds())
 }
 
-// forgetProcess drops what was observed of the process that ran before under the
-// same ID. Kept, its load would keep calls away from an idle backend server, and its
-// last word that it takes none would do so for seconds.
-func (s *state) forgetProcess() {
-	for _, a := range []*average{&s.failures, &s.latency, &s.others, &s.linkWait} {
+// resetObservations clears the observations of the previous process under the same ID. Otherwise
+// its load would keep calls away from an idle backend server, and a refusal of all calls would do
+// so for seconds.
+func (s *state) resetObservations() {
+	for _, a := range []*average{&s.failures, &s.latency, &s.otherLoad, &s.linkWait} {
 		a.clear()
 	}
 	s.results.Store(0)
-	s.refusedTil.Store(0)
+	s.refusedUntil.Store(0)
 	s.ejected.Store(false)
-	s.trialsOK.Store(0)
+	s.trialSuccesses.Store(0)
 }
 
-// rebuild makes the table anew. The caller holds mu.
+// rebuild builds a new table. The caller holds mu.
 func (p *Picker) rebuild() {
 	t := &table{all: slices.Clone(p.order)}
-	var byTier [tiers][]*state
+	var byTier [numTiers][]*state
 	for _, s := range t.all {
 		e := s.ep.Load()
 		if !e.Ready || e.Draining {
@@ -104,31 +104,31 @@
 		}
 		n := p.tierOf(e)
 		if e.Canary {
-			t.canaries[n], t.tries = append(t.canaries[n], s), true
+			t.canaries[n], t.hasCanaries = append(t.canaries[n], s), true
 			continue
 		}
 		byTier[n] = append(byTier[n], s)
 	}
 	for n, list := range byTier {
-		t.take(tier(n), list, p.subsetSize(tier(n), len(list)), p.opt.Self)
+		t.addTier(tier(n), list, p.subsetSize(tier(n), len(list)), p.opt.Self)
 	}
 	p.table.Store(t)
 }
 
-// take puts the first size endpoints that are not ejected in the subset, and
-// the ejected ones that came before them among those to be tried.
-func (t *table) take(n tier, list []*state, size int, self string) {
+// addTier puts the first size endpoints that are not ejected into the subset, and the ejected ones
+// before them into the trial list.
+func (t *table) addTier(n tier, list []*state, size int, self string) {
 	for _, s := range list {
-		if len(t.near[n]) == size {
+		if len(t.subset[n]) == size {
 			return
 		}
 		if s.ejected.Load() {
 			t.ejected = append(t.ejected, s)
 			continue
 		}
-		t.near[n] = append(t.near[n], s)
+		t.subset[n] = append(t.subset[n], s)
 		if s.ep.Load().VM == self {
-			t.own = append(t.own, s)
+			t.sameVM = append(t.sameVM, s)
 		}
 	}
 }
@@ -143,8 +143,7 @@
 	return tierFar
 }
 
-// byPreference orders endpoints by this node's rendezvous hash, the ID
-// breaking a tie.
+// byPreference orders endpoints by descending preference, then by ID.
 func byPreference(a, b *state) int {
 	if c := cmp.Compare(b.preference, a.preference); c != 0 {
 		return c
@@ -152,8 +151,7 @@
 	return cmp.Compare(a.ep.Load().ID, b.ep.Load().ID)
 }
 
-// Endpoints returns what the Picker holds true of every endpoint, ordered by
-// ID.
+// Endpoints returns the status of every endpoint, ordered by ID.
 func (p *Picker) Endpoints(now time.Time) []EndpointStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,14 +171,14 @@
 	e := *s.ep.Load()
 	st := EndpointStatus{
 		Endpoint:     e,
-		InSubset:     slices.Contains(t.near[p.tierOf(&e)], s),
+		InSubset:     slices.Contains(t.subset[p.tierOf(&e)], s),
 		Ejected:      s.ejected.Load(),
 		SlowStarting: s.ramp(ms, p.slowStart) < 1,
 		Outstanding:  int(s.outstanding.Load()),
-		FailureRate:  s.failing(ms, p.forget),
+		FailureRate:  s.failureRate(ms, p.halfLife),
 	}
 	if st.Ejected {
-		st.NextTrial = p.moment(s.nextTrial.Load())
+		st.NextTrial = p.timeAt(s.nextTrial.Load())
 	}
 	return st
 }
