--- a/internal/quarantine/bounds_test.go
+++ b/internal/quarantine/bounds_test.go
@@ -36,10 +36,9 @@
 	}
 }
 
-// A node whose backend servers are replaced each day under new names holds a
-// little of each for good. But one that crashed is gone from the registry before
-// its crash is laid to anything, and what broke there must still be known then.
-func TestGoneBackendServersAreForgotten(t *testing.T) {
+// The state of replaced backend servers must not accumulate. But a crashed one leaves the registry
+// before its crash is attributed, and the requests that broke there must still be known then.
+func TestAbsentBackendServersAreRemoved(t *testing.T) {
 	l, fp := newList("a"), request("x")
 	nothing := func(string) bool { return false }
 	l.Done(start, begin(t, l, start, request("y"), "old"), Answered)
@@ -48,25 +47,25 @@
 	l.Retain(start, nothing)
 	l.Retain(start.Add(DefaultCrashWindow), nothing)
 	if _, kept := l.trackers.Load("old"); !kept {
-		t.Error("forgotten within the crash window")
+		t.Error("removed within the crash window")
 	}
 	if ns := l.Crashed(start.Add(DefaultCrashWindow), "crashed"); len(ns) != 1 {
-		t.Errorf("the evidence is gone: %v", ns)
+		t.Errorf("no notice for the broken request: %v", ns)
 	}
 	later := start.Add(2 * DefaultCrashWindow)
 	l.Retain(later, nothing)
 	if n := l.trackerCount(); n != 1 {
-		t.Errorf("%d kept, of which one has a call in flight", n)
+		t.Errorf("%d trackers, want the one with a call in flight", n)
 	}
 	l.Done(later, open, Answered)
 	l.Retain(later, func(string) bool { return true })
 	l.Retain(later.Add(time.Hour), nothing)
 	if n := l.trackerCount(); n != 1 {
-		t.Error("one that came back is forgotten at once")
+		t.Error("a backend server that came back is removed at once")
 	}
 	l.Retain(later.Add(2*time.Hour), nothing)
 	if n := l.trackerCount(); n != 0 {
-		t.Errorf("%d kept for good", n)
+		t.Errorf("%d trackers left", n)
 	}
 }
 
@@ -75,7 +74,7 @@
 	return n
 }
 
-func TestMergePassesOverWhatIsNotOurs(t *testing.T) {
+func TestMergeIgnoresInvalidNotices(t *testing.T) {
 	l := newList("a")
 	l.MergeNotices(start, "b", []membership.Notice{
 		{Kind: "other", ID: "1"},
@@ -89,7 +88,7 @@
 	far := membership.Notice{Kind: string(KindSuspect), ID: request("x").String(), Detail: `{"crashes":[{"id":"c"}]}`, Expires: start.Add(1000 * time.Hour).UnixMilli()}
 	l.MergeNotices(start, "b", []membership.Notice{far})
 	if es := l.Entries(start); len(es) != 1 || es[0].Expires.After(start.Add(DefaultSuspectFor)) {
-		t.Errorf("another clock makes it last: %+v", es)
+		t.Errorf("the expiry is not bounded by the own clock: %+v", es)
 	}
 }
 
@@ -122,26 +121,24 @@
 	}
 }
 
-// A quarantine ends by itself a moment after it began. A copy of the bad request
-// was under way at a third endpoint that answered it, by luck.
+// A copy of the bad request runs at a third endpoint and is answered there by chance. The answer
+// must not end the quarantine that began in the meantime.
 func TestAnswerDoesNotEndAQuarantine(t *testing.T) {
 	l, bad := newList("a"), request("bad")
 	crash(t, l, start, "b1", bad)
 	tok := begin(t, l, start, bad, "b3")
 	crash(t, l, start, "b2", bad)
 	l.Done(start, tok, Answered)
-	// The same when the quarantine begins between the look at the entry and
-	// its clearing.
-	l.clear(start, bad, byAnswer)
+	// The same if the quarantine begins between the lookup of the entry and its clearing.
+	l.clear(start, bad, liftedByAnswer)
 	if _, blocked := l.Blocked(start, bad); !blocked {
 		t.Error("an answer ended the quarantine")
 	}
 }
 
-// An operator lifts a quarantine at a node that found as many bad requests as
-// its record has room for. The lift was told last, so never: every other node
-// went on refusing the request, and nobody saw why.
-func TestLiftIsToldBesideManyQuarantines(t *testing.T) {
+// At a node with as many bad requests as its record can hold, a lift had the lowest priority and
+// was never announced. Every other node went on refusing the request.
+func TestLiftIsAnnouncedBesideManyQuarantines(t *testing.T) {
 	a, b := newList("a"), newList("b")
 	lifted := request("lifted")
 	for i := range DefaultMaxNotices + 1 {
@@ -160,7 +157,7 @@
 	}
 	b.MergeNotices(start, "a", a.Notices(start))
 	if _, blocked := b.Blocked(start, lifted); blocked {
-		t.Error("the lift was not told")
+		t.Error("the lift was not announced")
 	}
 	if n := len(a.Notices(start)); n != DefaultMaxNotices {
 		t.Errorf("%d notices, want %d", n, DefaultMaxNotices)
--- a/internal/quarantine/detail.go
+++ b/internal/quarantine/detail.go
@@ -11,15 +11,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of a notice's detail in bytes, encoded. A membership record takes no
-// string above maxDetail.
+// Maximum length of a notice's detail, in bytes of JSON, and of its request line and LiftedBy
+// before encoding. A membership record accepts no string longer than maxDetail.
 const (
-	maxDetail = 256
-	maxWhat   = 96
-	maxBy     = 64
+	maxDetail      = 256
+	maxRequestLine = 96
+	maxLiftedBy    = 64
 )
 
-// detail is the Detail of a notice.
+// detail is the JSON form of a notice's Detail.
 type detail struct {
 	RequestLine string   `json:"what,omitempty"`
 	Crashes     []Crash  `json:"crashes,omitempty"`
@@ -27,18 +27,17 @@
 	LiftedBy    string   `json:"by,omitempty"`
 }
 
-// detail returns what a notice tells of e, cut to what fits.
+// detail returns the encoded detail of the notice for e, truncated to maxDetail.
 //
-// It guards against a record that is refused whole. The names of VMs and backend
-// servers and the path of a request, which its caller chooses, could make one
-// notice longer than a record takes; the node then told of no request at all,
-// and every entry node sent the bad ones on. What decides goes first: the crash
-// that weighs most, what was lifted last, further crashes, and the name of the
-// request in the room that is left.
+// It prevents an oversized notice, for which the whole membership record is refused. Names of VMs
+// and backend servers and the path of a request, which its caller chooses, could make one notice
+// too long; the node then announced no request at all, and every entry node went on sending the bad
+// ones. The decisive parts have precedence: the crash with the highest score, the most recent
+// lifts, further crashes, and then as much of the request line as fits.
 func (e *Entry) detail() string {
 	crashes := slices.Clone(e.Crashes)
 	slices.SortStableFunc(crashes, func(a, b Crash) int { return b.score() - a.score() })
-	d := detail{Crashes: crashes, Lifted: e.Lifted, LiftedBy: cut(e.LiftedBy, maxBy)}
+	d := detail{Crashes: crashes, Lifted: e.Lifted, LiftedBy: truncate(e.LiftedBy, maxLiftedBy)}
 	for len(d.encode()) > maxDetail {
 		switch {
 		case len(d.Crashes) > 1:
@@ -48,12 +47,12 @@
 		case d.LiftedBy != "":
 			d.LiftedBy = ""
 		default:
-			d.Crashes = nil // of a name that no settings allow
+			d.Crashes = nil // only for names longer than the settings allow
 		}
 	}
 	room := maxDetail - len(d.encode()) - len(`"what":"",`)
-	for n := min(maxWhat, room); n > 0; n-- {
-		d.RequestLine = cut(e.RequestLine, n)
+	for n := min(maxRequestLine, room); n > 0; n-- {
+		d.RequestLine = truncate(e.RequestLine, n)
 		if text := d.encode(); len(text) <= maxDetail {
 			return text
 		}
@@ -65,7 +64,7 @@
 func (d detail) encode() string {
 	var out bytes.Buffer
 	e := json.NewEncoder(&out)
-	e.SetEscapeHTML(false) // a path has many of these signs
+	e.SetEscapeHTML(false) // escaping would lengthen paths, which often contain these characters
 	if err := e.Encode(d); err != nil {
 		// Strings and booleans always encode.
 		panic("quarantine: " + err.Error())
@@ -73,8 +72,8 @@
 	return strings.TrimSuffix(out.String(), "\n")
 }
 
-// cut returns the first n bytes of s at most, without half a character.
-func cut(s string, n int) string {
+// truncate returns at most the first n bytes of s, without a partial UTF-8 character.
+func truncate(s string, n int) string {
 	s = s[:min(len(s), n)]
 	for len(s) > 0 {
 		r, size := utf8.DecodeLastRuneInString(s)
@@ -86,13 +85,13 @@
 	return strings.ToValidUTF8(s, "?")
 }
 
-// momentLength is the length of a crash's moment, until the year 2059.
-const momentLength = 8
+// crashTimeLength is the length of the time in a crash ID, until the year 2059.
+const crashTimeLength = 8
 
-// lift returns the short form in which a lift names a crash: its moment, so that
-// the latest sort last, and a hash. Many lifts have to fit into a notice.
-func lift(crash string) string {
+// shortCrashID returns the short form of a crash ID used in lifts: its time, so that the latest
+// sort last, and a hash. Many lifts have to fit into a notice.
+func shortCrashID(crash string) string {
 	moment := crash[strings.LastIndexByte(crash, '/')+1:]
 	hash := strconv.FormatUint(uint64(uint32(xxhash.Sum64String(crash))), 36)
-	return cut(moment, momentLength) + hash
+	return truncate(moment, crashTimeLength) + hash
 }
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -13,30 +13,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// FingerprintBodyBytes is how much of a body the fingerprint covers. A body streams, so
-// the fingerprint can only cover what is read before the request is sent on.
+// FingerprintBodyBytes is how much of a body the fingerprint covers. Bodies are streamed, so only
+// the part read before the request is forwarded can be covered.
 const FingerprintBodyBytes = 4096
 
-// Fingerprint stands for a request and its resends.
+// Fingerprint identifies a request across resends.
 type Fingerprint [16]byte
 
-// coveredHeaders change what a backend server does with a request and stay the
-// same when a caller sends it again. Credentials, cookies, idempotency keys and
-// identities of a request are left out: the same bad request comes from several
-// callers, and with a new identity each time.
+// coveredHeaders affect how a backend server handles a request and stay the same when a caller
+// sends it again. Credentials, cookies, idempotency keys and request IDs are left out: the same bad
+// request comes from several callers, with a new ID each time.
 var coveredHeaders = [...]string{
 	"Accept", "Accept-Encoding", "Accept-Language", "Content-Encoding", "Content-Type", "Range",
 }
 
-// second is the seed that makes the upper half of a fingerprint.
-const second = 0x6d61726c70617373
+// upperHalfSeed is the hash seed of the fingerprint's second half.
+const upperHalfSeed = 0x6d61726c70617373
 
-// NewFingerprint returns the fingerprint of a request. length is that of the body, or -1
-// when not known; head is the body's beginning, of which at most FingerprintBodyBytes
-// count.
+// NewFingerprint returns the fingerprint of a request. length is the body length, or -1 if unknown.
+// head is the beginning of the body, of which at most FingerprintBodyBytes count.
 func NewFingerprint(method, host, path, query string, h http.Header, length int64, head []byte) Fingerprint {
 	var stack [512]byte
-	b := appendParts(stack[:0], method, nameOf(host), path, query)
+	b := appendParts(stack[:0], method, namedHost(host), path, query)
 	for _, name := range coveredHeaders {
 		b = appendParts(b, h[name]...)
 		b = append(b, 0xff)
@@ -45,17 +43,16 @@
 	head = head[:min(len(head), FingerprintBodyBytes)]
 	var f Fingerprint
 	binary.BigEndian.PutUint64(f[:8], hash(0, b, head))
-	binary.BigEndian.PutUint64(f[8:], hash(second, b, head))
+	binary.BigEndian.PutUint64(f[8:], hash(upperHalfSeed, b, head))
 	return f
 }
 
-// nameOf returns the host that a request names, or nothing if it is an address.
+// namedHost returns the host if it is a name, or "" if it is an address.
 //
-// It guards against one request looking like many. A caller that reaches entry
-// nodes by their addresses sends the address of the one it chose as the host,
-// and a bad request that it sends again through another node would start with a
-// clean record there: each node would learn of one crash, and none of two.
-func nameOf(host string) string {
+// Callers that reach entry nodes by address send that address as the host. If it counted, a bad
+// request resent through another entry node would get another fingerprint: each node would see its
+// first crash, and none the second.
+func namedHost(host string) string {
 	if host == "" || !maybeAddress(host) {
 		return host
 	}
@@ -70,8 +67,8 @@
 	return host
 }
 
-// maybeAddress tells most names from addresses at no cost: an address begins
-// with a digit, or in IPv6 with a bracket.
+// maybeAddress is a cheap check that excludes most names: an address begins with a digit, or with a
+// bracket in IPv6.
 func maybeAddress(host string) bool {
 	return host[0] == '[' || '0' <= host[0] && host[0] <= '9'
 }
@@ -92,17 +89,16 @@
 	return d.Sum64()
 }
 
-// Key returns a number for choosing the endpoint that runs the request when it
-// is a suspect.
+// Key returns a number for selecting the endpoint that runs the request when it is a suspect.
 func (f Fingerprint) Key() uint64 { return binary.BigEndian.Uint64(f[:8]) }
 
 // String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ErrFingerprint means that a text is no fingerprint.
+// ErrFingerprint means that a string is not a valid fingerprint.
 var ErrFingerprint = errors.New("not a fingerprint of 32 hexadecimal digits")
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the output of Fingerprint.String. The error is ErrFingerprint.
 func ParseFingerprint(s string) (Fingerprint, error) {
 	var f Fingerprint
 	b, err := hex.DecodeString(s)
--- a/internal/quarantine/hold.go
+++ b/internal/quarantine/hold.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// maxHolds bounds the broken calls that an entry node remembers.
+// maxHolds bounds the number of holds at an entry node.
 const maxHolds = 1024
 
 // hold is a request whose calls broke at this entry node.
 type hold struct {
-	endpoints [2]string // where it broke; the second is empty at first
+	endpoints [2]string // endpoints at which it broke; the second is empty after one break
 	until     time.Time
 }
 
-// holds keeps an entry node from sending a broken call to one endpoint after
-// another before the destination nodes have told whether it crashed them. It is
-// read on each call's path, where hardly ever a hold is in force.
+// holds stops an entry node from sending a broken call to one endpoint after another before the
+// destination nodes have reported whether it crashed them. It is read on the path of every call,
+// when hardly ever a hold is in force.
 type holds struct {
-	until atomic.Int64 // Unix nanoseconds of the last hold's end, or zero
+	until atomic.Int64 // end of the last hold in Unix nanoseconds, or zero
 	mu    sync.Mutex
 	byFP  map[Fingerprint]*hold
 }
 
-func (h *holds) note(now time.Time, fp Fingerprint, endpoint string, d time.Duration) {
+func (h *holds) record(now time.Time, fp Fingerprint, endpoint string, d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.byFP == nil {
@@ -49,8 +49,8 @@
 	h.until.Store(max(h.until.Load(), now.Add(d).UnixNano()))
 }
 
-// active reports whether a hold may be in force. It goes by time alone, so that
-// it turns false when the last hold ends, and not at the next break.
+// active reports whether a hold may be in force. It depends on time alone, so that it turns false
+// when the last hold ends instead of at the next break.
 func (h *holds) active(now time.Time) bool { return now.UnixNano() < h.until.Load() }
 
 func (h *holds) get(now time.Time, fp Fingerprint) (hold, bool) {
@@ -93,22 +93,21 @@
 	}
 }
 
-// Broke notes at the entry node that a call broke at an endpoint, given as
-// VM/backend server: it may have
-// crashed it. Until the destination node tells, a resend runs isolated, and one
-// that broke at two endpoints is held back for a moment. A request that this
-// node had an answer to lately is passed over.
+// Broke records at the entry node that a call broke at an endpoint, given as VM/backend server,
+// which it may have crashed. Until the destination node reports, a resend runs isolated, and a
+// request that broke at two endpoints is held back for Options.HoldFor. A request that this node
+// had a recent answer to is ignored.
 func (l *List) Broke(now time.Time, fp Fingerprint, endpoint string) {
-	if l.answered.within(now, fp, l.opt.AnsweredWindow) {
+	if l.answeredCache.within(now, fp, l.opt.AnsweredWindow) {
 		return
 	}
-	l.held.note(now, fp, endpoint, l.opt.HoldFor)
+	l.entryHolds.record(now, fp, endpoint, l.opt.HoldFor)
 }
 
-// Answered notes at the entry node that a call was answered.
+// Answered records at the entry node that a call was answered.
 func (l *List) Answered(now time.Time, fp Fingerprint) {
-	l.answered.note(now, fp)
-	if l.held.active(now) {
-		l.held.drop(fp)
+	l.answeredCache.record(now, fp)
+	if l.entryHolds.active(now) {
+		l.entryHolds.drop(fp)
 	}
 }
--- a/internal/quarantine/inflight.go
+++ b/internal/quarantine/inflight.go
@@ -9,15 +9,15 @@
 type RunResult uint8
 
 const (
-	// Answered means that the backend server answered whole.
+	// Answered means that the backend server sent a complete answer.
 	Answered RunResult = iota + 1
-	// Broken means that the connection broke before the answer was whole.
+	// Broken means that the connection broke before the answer was complete.
 	Broken
 	// Dropped means that the request was not run, or was cancelled.
 	Dropped
 )
 
-// Token stands for one run in flight. The zero Token is allowed and ignored.
+// Token identifies one run in flight. The zero Token is valid and ignored.
 type Token struct {
 	t       *tracker
 	fp      Fingerprint
@@ -25,24 +25,22 @@
 	suspect bool
 }
 
-// Request names a request for operators, without its query.
+// Request describes a request for operators, without its query.
 type Request struct{ Method, Host, Path string }
 
-// String returns the request as in "POST berths/bookings".
+// String returns the request line, as in "POST berths/bookings".
 func (r Request) String() string { return r.Method + " " + r.Host + r.Path }
 
-// run is one request in flight at a backend server, or one whose connection
-// broke a moment ago.
+// run is a request in flight at a backend server, or one whose connection broke recently.
 type run struct {
 	fp      Fingerprint
-	what    Request
+	request Request
 	used    bool
 	brokeAt time.Time // zero while in flight
 }
 
-// tracker notes what is in flight at one backend server. Its lock is held for
-// a few steps and never across I/O; only the calls to this one backend server
-// meet there.
+// tracker records the requests in flight at one backend server. Its lock is never held across I/O,
+// and only calls to this backend server contend for it.
 type tracker struct {
 	window time.Duration // how long a broken run is kept
 
@@ -50,12 +48,12 @@
 	runs    []run
 	free    []int
 	suspect bool // a suspect is in flight
-	// goneSince is when its backend server was first seen absent, or zero.
-	goneSince time.Time
+	// absentSince is when the backend server was first seen absent, or zero.
+	absentSince time.Time
 }
 
-// start notes a run. It refuses a suspect while another is in flight.
-func (t *tracker) start(now time.Time, fp Fingerprint, what Request, suspect bool) (Token, bool) {
+// start records a run. It refuses a suspect while another one is in flight.
+func (t *tracker) start(now time.Time, fp Fingerprint, request Request, suspect bool) (Token, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if suspect && t.suspect {
@@ -63,14 +61,14 @@
 	}
 	t.suspect = t.suspect || suspect
 	if len(t.free) == 0 {
-		t.sweep(now)
+		t.dropExpired(now)
 	}
-	i := t.slot()
-	t.runs[i] = run{fp: fp, what: what, used: true}
+	i := t.allocate()
+	t.runs[i] = run{fp: fp, request: request, used: true}
 	return Token{t: t, fp: fp, index: i, suspect: suspect}, true
 }
 
-func (t *tracker) slot() int {
+func (t *tracker) allocate() int {
 	if n := len(t.free); n > 0 {
 		i := t.free[n-1]
 		t.free = t.free[:n-1]
@@ -80,8 +78,8 @@
 	return len(t.runs) - 1
 }
 
-// finish ends a run. A broken one is kept for the window, because the node
-// learns of the crash only after the connections broke.
+// finish ends a run. A broken one is kept for the window, since the node detects a crash only after
+// the connections broke.
 func (t *tracker) finish(now time.Time, tok Token, end RunResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,8 +98,8 @@
 	t.free = append(t.free, i)
 }
 
-// sweep forgets runs that broke longer than its window ago. The caller holds mu.
-func (t *tracker) sweep(now time.Time) {
+// dropExpired removes runs that broke longer than the window ago. The caller holds mu.
+func (t *tracker) dropExpired(now time.Time) {
 	for i := range t.runs {
 		r := &t.runs[i]
 		if r.used && !r.brokeAt.IsZero() && now.Sub(r.brokeAt) > t.window {
@@ -110,40 +108,38 @@
 	}
 }
 
-// outlived reports whether the backend server has been absent for longer than the
-// window, and nothing of it is in flight or broke within the window.
-func (t *tracker) outlived(now time.Time, present bool) bool {
+// removable reports whether the backend server has been absent for longer than the window, with no
+// run in flight or broken within the window.
+func (t *tracker) removable(now time.Time, present bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if present {
-		t.goneSince = time.Time{}
+		t.absentSince = time.Time{}
 		return false
 	}
-	if t.goneSince.IsZero() {
-		t.goneSince = now
+	if t.absentSince.IsZero() {
+		t.absentSince = now
 	}
-	t.sweep(now)
-	return now.Sub(t.goneSince) > t.window && len(t.free) == len(t.runs)
+	t.dropExpired(now)
+	return now.Sub(t.absentSince) > t.window && len(t.free) == len(t.runs)
 }
 
-// which are the runs that a crash is laid to.
-type which bool
+// runFilter selects the runs that a crash is attributed to.
+type runFilter bool
 
 const (
-	// brokenOnly takes the runs whose connections broke.
-	brokenOnly which = false
-	// withOpen takes those still open too, whose connections are about to
-	// break.
-	withOpen which = true
+	// brokenOnly selects the runs whose connections broke.
+	brokenOnly runFilter = false
+	// includeOpen also selects the open runs, whose connections are about to break.
+	includeOpen runFilter = true
 )
 
-// crashed returns what was in flight when the backend server crashed, each
-// fingerprint once. Runs still open stay noted until they are finished, but a
-// crash counts them once only.
-func (t *tracker) crashed(now time.Time, w which) []run {
+// crashed returns the runs in flight when the backend server crashed, one per fingerprint. Open
+// runs stay recorded until they finish, but count for one crash only.
+func (t *tracker) crashed(now time.Time, w runFilter) []run {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sweep(now)
+	t.dropExpired(now)
 	var out []run
 	seen := map[Fingerprint]bool{}
 	for i := range t.runs {
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -24,22 +24,22 @@
 	DefaultMaxNotices     = 32
 )
 
-// isolatedRetry is when a suspect may come back that found another one running.
-const isolatedRetry = time.Second
+// isolatedRetryAfter is the retry delay of a suspect that found another one running.
+const isolatedRetryAfter = time.Second
 
-// Options sets up a List. Zero fields take the defaults.
+// Options configures a List. Zero fields take the defaults.
 type Options struct {
 	Self string // the VM of this node
-	// SuspectFor and QuarantineFor are how long each lasts by itself.
+	// SuspectFor and QuarantineFor are how long each state lasts without further events.
 	SuspectFor    time.Duration
 	QuarantineFor time.Duration
-	// CrashWindow is how long after its connection broke a request counts as
-	// in flight at a crash.
+	// CrashWindow is how long after its connection broke a request still counts as in flight at a
+	// crash.
 	CrashWindow time.Duration
-	// AnsweredWindow is how long an answer speaks for a request.
+	// AnsweredWindow is how long after an answer a request counts as answered before.
 	AnsweredWindow time.Duration
-	// HoldFor is how long the entry node goes by broken calls alone, until the
-	// destination nodes have told whether backend servers crashed.
+	// HoldFor is how long the entry node acts on broken calls alone, until the destination nodes
+	// have reported whether backend servers crashed.
 	HoldFor    time.Duration
 	MaxEntries int
 	MaxNotices int
@@ -58,25 +58,25 @@
 
 type entries map[Fingerprint]*Entry
 
-// List is what one node knows of bad requests. It is safe for concurrent use.
-// On a call's path it reads an immutable map and one atomic word, and notes the
-// run under the lock of its backend server.
+// List holds one node's suspected, quarantined and lifted requests. It is safe for concurrent use.
+// On the path of a call it reads an immutable map and one atomic word, and records the run under
+// its backend server's lock.
 type List struct {
-	opt      Options
-	answered answered
-	trackers sync.Map // backend server -> *tracker
-	current  atomic.Pointer[entries]
-	held     holds
+	opt           Options
+	answeredCache answeredCache
+	trackers      sync.Map // backend server -> *tracker
+	current       atomic.Pointer[entries]
+	entryHolds    holds
 
-	mu      sync.Mutex // held by whoever replaces current
-	own     []Fingerprint
-	crashes int
+	mu         sync.Mutex // guards the fields below; held while current is replaced
+	announced  []Fingerprint
+	crashCount int
 }
 
 // New returns an empty List.
 func New(now time.Time, o Options) *List {
 	l := &List{opt: o.withDefaults()}
-	l.answered.base = now
+	l.answeredCache.base = now
 	l.current.Store(&entries{})
 	return l
 }
@@ -93,20 +93,20 @@
 	return e
 }
 
-// Blocked reports whether the request must not run, and why.
+// Blocked reports whether the request must not run, and returns its entry.
 func (l *List) Blocked(now time.Time, fp Fingerprint) (Entry, bool) {
 	if e := l.lookup(now, fp); e != nil && e.Kind == KindQuarantined {
 		return *e, true
 	}
-	if until, ok := l.held.blocked(now, fp); ok {
+	if until, ok := l.entryHolds.blocked(now, fp); ok {
 		return Entry{Fingerprint: fp, Kind: KindSuspect, Expires: until}, true
 	}
 	return Entry{}, false
 }
 
-// NewRefusal returns the refusal for a blocked request. One that is not quarantined
-// is held back for seconds, and its caller must be told to come back: a refusal
-// that reads as final would make it give up a harmless booking.
+// NewRefusal returns the refusal for a blocked request. A request that is not quarantined is held
+// back for seconds, and its caller must be asked to retry: after a refusal that seems final it
+// would give up a harmless booking.
 func (e *Entry) NewRefusal(now time.Time) *call.Refusal {
 	if e.Kind != KindQuarantined {
 		return &call.Refusal{
@@ -122,45 +122,45 @@
 	}
 }
 
-// Isolated reports whether the request is a suspect, which an entry node sends
-// to the endpoint that its Key chooses and to no other.
+// Isolated reports whether the request is a suspect that an entry node must send to the endpoint
+// selected by Fingerprint.Key and to no other.
 func (l *List) Isolated(now time.Time, fp Fingerprint) bool {
 	if e := l.lookup(now, fp); e != nil && e.Kind != KindLifted {
 		return e.isolated()
 	}
-	return l.held.isolated(now, fp)
+	return l.entryHolds.isolated(now, fp)
 }
 
-// CrashedAt returns the endpoints, as VM/backend server, that crashed with the
-// suspect in flight. An entry node doesn't choose them for its isolated run:
-// they are starting again, and the choice would change under the run when they
-// come back, so that two endpoints would run it.
+// CrashedAt returns the endpoints, as VM/backend server, that crashed with the suspect in flight.
+// An entry node excludes them from the selection for the isolated run: they are restarting, and the
+// selection would change during the run when they come back, so that two endpoints would run the
+// request.
 func (l *List) CrashedAt(now time.Time, fp Fingerprint) []string {
 	if e := l.lookup(now, fp); e != nil {
 		return e.crashedAt()
 	}
-	return l.held.crashedAt(now, fp)
+	return l.entryHolds.crashedAt(now, fp)
 }
 
-// Start notes at the destination node that the request is about to run at the
-// backend server. The error is a *call.Refusal when it must not run now.
-func (l *List) Start(now time.Time, fp Fingerprint, endpoint string, what Request) (Token, error) {
+// Start records at the destination node that the request is about to run at the backend server. The
+// error is a *call.Refusal if it must not run now.
+func (l *List) Start(now time.Time, fp Fingerprint, endpoint string, request Request) (Token, error) {
 	e := l.lookup(now, fp)
 	if e != nil && e.Kind == KindQuarantined {
 		return Token{}, e.NewRefusal(now)
 	}
-	tok, ok := l.tracker(endpoint).start(now, fp, what, e != nil && e.isolated())
+	tok, ok := l.tracker(endpoint).start(now, fp, request, e != nil && e.isolated())
 	if !ok {
 		return Token{}, &call.Refusal{
 			Reason:     call.ReasonOverloaded,
-			RetryAfter: isolatedRetry,
+			RetryAfter: isolatedRetryAfter,
 			Detail:     "another suspect request is running",
 		}
 	}
 	return tok, nil
 }
 
-// Done notes how the run ended. An answer clears a suspect.
+// Done records how the run ended. An answer clears a suspect.
 func (l *List) Done(now time.Time, tok Token, end RunResult) {
 	if tok.t == nil {
 		return
@@ -169,9 +169,9 @@
 	if end != Answered {
 		return
 	}
-	l.answered.note(now, tok.fp)
+	l.answeredCache.record(now, tok.fp)
 	if e := l.lookup(now, tok.fp); e != nil && e.Kind == KindSuspect {
-		l.clear(now, tok.fp, byAnswer)
+		l.clear(now, tok.fp, liftedByAnswer)
 	}
 }
 
@@ -183,55 +183,54 @@
 	return t.(*tracker)
 }
 
-// Retain forgets the backend servers that have been absent for longer than the
-// crash window and have nothing in flight. It is to be called now and again.
+// Retain drops the state of backend servers that have been absent for longer than the crash window
+// and have nothing in flight. It must be called periodically.
 //
-// The window guards the evidence: one that crashed may be gone before its crash
-// is laid to what broke there.
+// The window preserves the evidence: a crashed backend server may be absent before its crash is
+// attributed to the requests that broke there.
 func (l *List) Retain(now time.Time, present func(endpoint string) bool) {
 	l.trackers.Range(func(endpoint, t any) bool {
-		if t.(*tracker).outlived(now, present(endpoint.(string))) {
+		if t.(*tracker).removable(now, present(endpoint.(string))) {
 			l.trackers.Delete(endpoint)
 		}
 		return true
 	})
 }
 
-// Crashed takes in that a backend server of this node crashed. It returns the
-// notices that the nodes holding the same service should be told at once.
+// Crashed records that a backend server of this node crashed. It returns the notices to send at
+// once to the nodes that hold the same service.
 func (l *List) Crashed(now time.Time, endpoint string) []membership.Notice {
-	return l.lay(now, endpoint, withOpen)
+	return l.recordCrash(now, endpoint, includeOpen)
 }
 
-// Restarted takes in that another process took the place of a backend server.
-// Like Crashed it returns notices, of the requests whose connections broke.
+// Restarted records that another process replaced a backend server. Like Crashed it returns
+// notices, for the requests whose connections broke.
 //
-// It guards against taking a planned replacement for a crash: the old process
-// still runs what it had in flight, and a request that is slow enough to be
-// there at two replacements would be quarantined.
+// Runs that are still open don't count: after a planned replacement the old process still runs
+// them, and a slow request in flight at two replacements would be quarantined.
 func (l *List) Restarted(now time.Time, endpoint string) []membership.Notice {
-	return l.lay(now, endpoint, brokenOnly)
+	return l.recordCrash(now, endpoint, brokenOnly)
 }
 
-// lay lays a crash to the requests that were in flight.
-func (l *List) lay(now time.Time, endpoint string, w which) []membership.Notice {
+// recordCrash attributes a crash to the requests that were in flight.
+func (l *List) recordCrash(now time.Time, endpoint string, w runFilter) []membership.Notice {
 	runs := l.tracker(endpoint).crashed(now, w)
 	if len(runs) == 0 {
 		return nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.crashes++
-	id := l.opt.Self + "/" + endpoint + "/" + strconv.FormatInt(now.UnixMilli(), 36) + "." + strconv.Itoa(l.crashes)
+	l.crashCount++
+	id := l.opt.Self + "/" + endpoint + "/" + strconv.FormatInt(now.UnixMilli(), 36) + "." + strconv.Itoa(l.crashCount)
 	next := maps.Clone(*l.current.Load())
 	out := make([]membership.Notice, 0, len(runs))
-	narrowed := l.narrowed(now, next, runs)
+	hasUnansweredRepeat := l.hasUnansweredRepeat(now, next, runs)
 	for _, r := range runs {
-		c := Crash{ID: id, AnsweredBefore: l.known(now, next[r.fp], r.fp)}
-		c.Conclusive = next.crashedBefore(now, r.fp) && !(c.AnsweredBefore && narrowed)
-		e := l.blame(now, next[r.fp], r, c)
+		c := Crash{ID: id, AnsweredBefore: l.answeredBefore(now, next[r.fp], r.fp)}
+		c.Conclusive = next.crashedBefore(now, r.fp) && !(c.AnsweredBefore && hasUnansweredRepeat)
+		e := l.addCrash(now, next[r.fp], r, c)
 		next[r.fp] = e
-		l.claim(r.fp)
+		l.announce(r.fp)
 		out = append(out, e.notice())
 	}
 	l.publish(now, next)
@@ -244,10 +243,10 @@
 	return e != nil && !e.expired(now) && len(e.Crashes) > 0
 }
 
-// known reports whether the request was answered lately, here or at a node where
-// it was in flight at an earlier crash.
-func (l *List) known(now time.Time, e *Entry, fp Fingerprint) bool {
-	if l.answered.within(now, fp, l.opt.AnsweredWindow) {
+// answeredBefore reports whether the request was answered recently, here or at a node where it was
+// in flight at an earlier crash.
+func (l *List) answeredBefore(now time.Time, e *Entry, fp Fingerprint) bool {
+	if l.answeredCache.within(now, fp, l.opt.AnsweredWindow) {
 		return true
 	}
 	if e == nil || e.expired(now) {
@@ -256,26 +255,25 @@
 	return slices.ContainsFunc(e.Crashes, func(c Crash) bool { return c.AnsweredBefore })
 }
 
-// narrowed reports whether a request that nobody ever answered was in flight at
-// this crash and at an earlier one. It then accounts for both.
+// hasUnansweredRepeat reports whether a request without a recent answer was in flight at this crash
+// and at an earlier one. It then accounts for both.
 //
-// It guards the popular lookups of a service. Two crashes close together find
-// some of them in flight at both, before an answer could clear them, and they
-// would be refused to everybody along with the bad request.
-func (l *List) narrowed(now time.Time, es entries, runs []run) bool {
+// This protects popular lookups. Some of them are in flight at two crashes close together, before
+// an answer could clear them, and would be refused to all callers along with the bad request.
+func (l *List) hasUnansweredRepeat(now time.Time, es entries, runs []run) bool {
 	return slices.ContainsFunc(runs, func(r run) bool {
-		return es.crashedBefore(now, r.fp) && !l.known(now, es[r.fp], r.fp)
+		return es.crashedBefore(now, r.fp) && !l.answeredBefore(now, es[r.fp], r.fp)
 	})
 }
 
-// blame returns the entry of a request after one more crash.
-func (l *List) blame(now time.Time, old *Entry, r run, c Crash) *Entry {
+// addCrash returns the entry of a request after one more crash.
+func (l *List) addCrash(now time.Time, old *Entry, r run, c Crash) *Entry {
 	e := &Entry{Fingerprint: r.fp}
 	if old != nil && !old.expired(now) {
 		e = old
 	}
-	e = e.with([]Crash{c}, nil)
-	e.RequestLine = r.what.String()
+	e = e.withCrashes([]Crash{c}, nil)
+	e.RequestLine = r.request.String()
 	e.LiftedBy = ""
 	e.Expires = now.Add(l.lifetime(e.Kind))
 	return e
@@ -288,23 +286,23 @@
 	return l.opt.QuarantineFor
 }
 
-// publish puts next in force, without what has expired and within the bound.
-// The caller holds mu.
+// publish replaces the current entries with next, without expired ones and within MaxEntries. The
+// caller holds mu.
 func (l *List) publish(now time.Time, next entries) {
 	maps.DeleteFunc(next, func(_ Fingerprint, e *Entry) bool { return e.expired(now) })
 	if extra := len(next) - l.opt.MaxEntries; extra > 0 {
-		for _, e := range slices.SortedFunc(maps.Values(next), dropFirst)[:extra] {
+		for _, e := range slices.SortedFunc(maps.Values(next), evictionOrder)[:extra] {
 			delete(next, e.Fingerprint)
 		}
 	}
-	l.own = slices.DeleteFunc(l.own, func(fp Fingerprint) bool { return next[fp] == nil })
+	l.announced = slices.DeleteFunc(l.announced, func(fp Fingerprint) bool { return next[fp] == nil })
 	l.current.Store(&next)
 }
 
-// dropFirst orders entries by what is missed least: suspects before the
-// others, then what expires first.
-func dropFirst(a, b *Entry) int {
-	if c := cmp.Compare(weight(a.Kind), weight(b.Kind)); c != 0 {
+// evictionOrder orders entries for eviction: suspects first, then lifted, then quarantined ones,
+// and by expiry within a kind.
+func evictionOrder(a, b *Entry) int {
+	if c := cmp.Compare(retentionRank(a.Kind), retentionRank(b.Kind)); c != 0 {
 		return c
 	}
 	if c := a.Expires.Compare(b.Expires); c != 0 {
@@ -313,7 +311,7 @@
 	return cmp.Compare(a.Fingerprint.String(), b.Fingerprint.String())
 }
 
-func weight(k Kind) int {
+func retentionRank(k Kind) int {
 	switch k {
 	case KindQuarantined:
 		return 2
@@ -323,7 +321,7 @@
 	return 0
 }
 
-// Entries returns all that is held, quarantined first, for handover.
+// Entries returns all entries in force, quarantined ones first, for handover.
 func (l *List) Entries(now time.Time) []Entry {
 	var out []Entry
 	for _, e := range *l.current.Load() {
@@ -331,6 +329,6 @@
 			out = append(out, *e)
 		}
 	}
-	slices.SortFunc(out, func(a, b Entry) int { return dropFirst(&b, &a) })
+	slices.SortFunc(out, func(a, b Entry) int { return evictionOrder(&b, &a) })
 	return out
 }
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -31,7 +31,7 @@
 	return tok
 }
 
-// crash lets the backend server crash with the given requests in flight.
+// crash makes the backend server crash with the given requests in flight.
 func crash(t testing.TB, l *List, now time.Time, ep string, fps ...Fingerprint) []membership.Notice {
 	t.Helper()
 	var toks []Token
@@ -44,7 +44,7 @@
 	return l.Crashed(now, ep)
 }
 
-func TestOf(t *testing.T) {
+func TestNewFingerprint(t *testing.T) {
 	base := func() (string, string, string, string, http.Header, int64, []byte) {
 		return "POST", "h", "/p", "q=1", http.Header{"Content-Type": {"a"}}, 3, []byte("abc")
 	}
@@ -62,7 +62,7 @@
 	}
 	for name, fp := range differ {
 		if fp == want {
-			t.Errorf("another %s makes no other fingerprint", name)
+			t.Errorf("another %s does not change the fingerprint", name)
 		}
 	}
 	resend := hd.Clone()
@@ -100,15 +100,15 @@
 	}
 }
 
-// One request crashes each backend server that runs it, and its caller sends it
-// again. The second crash must be the last.
+// A request crashes each backend server that runs it, and its caller sends it again. The second
+// crash must be the last.
 func TestSecondCrashQuarantines(t *testing.T) {
 	l, bad := newList("a"), request("bad")
 	if ns := crash(t, l, start, "b1", bad); len(ns) != 1 || ns[0].Kind != string(KindSuspect) {
 		t.Fatalf("alerts after the first crash: %v", ns)
 	}
 	if _, blocked := l.Blocked(start, bad); blocked || !l.Isolated(start, bad) {
-		t.Fatal("after one crash it must run, isolated")
+		t.Fatal("after one crash it must run isolated")
 	}
 	if ns := crash(t, l, start, "b2", bad); ns[0].Kind != string(KindQuarantined) {
 		t.Fatalf("alerts after the second crash: %v", ns)
@@ -127,9 +127,9 @@
 	}
 }
 
-// An owner's booking is refused for half an hour because it ran beside a bad
-// request. It ran beside it once, then was answered; it must be cleared.
-func TestInnocentIsClearedByItsAnswer(t *testing.T) {
+// A harmless booking was in flight beside a bad request once and then answered. The answer must
+// clear it, or it would be refused for half an hour after the next crash.
+func TestAnswerClearsHarmlessSuspect(t *testing.T) {
 	l, bad, innocent := newList("a"), request("bad"), request("innocent")
 	crash(t, l, start, "b1", bad, innocent)
 	l.Done(start, begin(t, l, start, innocent, "b2"), Answered)
@@ -141,12 +141,12 @@
 		t.Error("the innocent request is blocked")
 	}
 	if _, blocked := l.Blocked(start, bad); !blocked {
-		t.Error("the bad request is not")
+		t.Error("the bad request is not blocked")
 	}
 }
 
-// All traders' most asked for lookup is refused. It is in flight at every
-// crash, because it is in flight always; but it is answered all the time.
+// The most frequent lookup is in flight at every crash, but is answered all the time. It must not
+// be refused to all callers.
 func TestPopularRequestIsNotIsolated(t *testing.T) {
 	a, b, popular := newList("a"), newList("b"), request("popular")
 	for _, l := range []*List{a, b} {
@@ -165,28 +165,27 @@
 	}
 }
 
-// A request that was harmless becomes bad when the data changes. That it was
-// answered before must not let it crash more than two backend servers.
-func TestRequestThatTurnsBad(t *testing.T) {
+// A harmless request becomes bad when the data changes. Earlier answers must not let it crash more
+// than two backend servers.
+func TestAnsweredRequestThatTurnsBad(t *testing.T) {
 	a, b, fp := newList("a"), newList("b"), request("turns bad")
 	for _, l := range []*List{a, b} {
 		l.Done(start, begin(t, l, start, fp, "x"), Answered)
 	}
 	now := start.Add(time.Minute)
 	b.MergeNotices(now, "a", crash(t, a, now, "x", fp))
-	told := crash(t, b, now, "x", fp)
+	fromB := crash(t, b, now, "x", fp)
 	if _, blocked := b.Blocked(now, fp); !blocked {
 		t.Error("not blocked where it crashed the second backend server")
 	}
-	a.MergeNotices(now, "b", told)
+	a.MergeNotices(now, "b", fromB)
 	if _, blocked := a.Blocked(now, fp); !blocked {
 		t.Error("not blocked elsewhere")
 	}
 }
 
-// A bad request and its resend run at one endpoint at the same time as other
-// suspects, and all of them are in flight at the second crash. Suspects run
-// one at a time, so that the second crash has one suspect only.
+// If suspects ran beside each other, all of them would be in flight at the second crash. They must
+// run one at a time, so that the second crash has one suspect only.
 func TestSuspectsRunOneAtATime(t *testing.T) {
 	l, bad, innocent := newList("a"), request("bad"), request("innocent")
 	crash(t, l, start, "b1", bad, innocent)
@@ -205,21 +204,21 @@
 	begin(t, l, start, innocent, "b2")
 }
 
-func TestBrokenLongAgoIsNotInFlight(t *testing.T) {
+func TestOldBreaksDoNotCount(t *testing.T) {
 	l, fp := newList("a"), request("x")
 	l.Done(start, begin(t, l, start, fp, "b"), Broken)
 	if ns := l.Crashed(start.Add(DefaultCrashWindow+time.Second), "b"); len(ns) != 0 {
-		t.Errorf("blamed: %v", ns)
+		t.Errorf("an old break counts for the crash: %v", ns)
 	}
 	l.Done(start, begin(t, l, start, fp, "b"), Dropped)
 	if ns := l.Crashed(start, "b"); len(ns) != 0 {
-		t.Errorf("blamed what was dropped: %v", ns)
+		t.Errorf("a dropped run counts for the crash: %v", ns)
 	}
 }
 
-// An operator lifts a quarantine, and the next exchange with a node that had
-// not heard of it brings it back. Lifted crashes stay lifted.
-func TestLiftHoldsAgainstOldNotices(t *testing.T) {
+// After an operator's lift, notices of a node that has not received it must not restore the
+// quarantine.
+func TestLiftSurvivesOldNotices(t *testing.T) {
 	a, b, fp := newList("a"), newList("b"), request("x")
 	crash(t, a, start, "x", fp)
 	old := crash(t, a, start, "y", fp)
@@ -241,20 +240,20 @@
 	b.MergeNotices(start, "a", again)
 	b.MergeNotices(start, "a", old)
 	if _, blocked := b.Blocked(start, fp); blocked || !b.Isolated(start, fp) {
-		t.Error("one crash after the lift must make a suspect, no more")
+		t.Error("after one crash since the lift the request must be a suspect")
 	}
 	if es := b.Entries(start); len(es) != 1 || es[0].Kind != KindSuspect {
 		t.Errorf("entries: %+v", es)
 	}
 }
 
-// One call is sent on by its own entry node to one endpoint after another
-// faster than any notice. What broke at two endpoints is held back for a moment.
-func TestEntryHoldsWhatBrokeTwice(t *testing.T) {
+// An entry node may send a call from one endpoint to the next faster than any notice arrives. A
+// request that broke at two endpoints must be held back for a short time.
+func TestEntryHoldsRequestThatBrokeTwice(t *testing.T) {
 	l, fp := newList("entry"), request("x")
 	l.Broke(start, fp, "b1")
 	if _, blocked := l.Blocked(start, fp); blocked || !l.Isolated(start, fp) {
-		t.Error("after one break it must run, isolated")
+		t.Error("after one break it must run isolated")
 	}
 	l.Broke(start, fp, "b2")
 	e, blocked := l.Blocked(start, fp)
@@ -262,13 +261,13 @@
 		t.Errorf("after two breaks: %v %+v", blocked, e)
 	}
 	if _, blocked := l.Blocked(start.Add(DefaultHoldFor), fp); blocked {
-		t.Error("held for good")
+		t.Error("blocked after the hold ended")
 	}
 	known := request("known")
 	l.Answered(start, known)
 	l.Broke(start, known, "b1")
 	l.Broke(start, known, "b2")
 	if _, blocked := l.Blocked(start, known); blocked {
-		t.Error("a request that is answered is held")
+		t.Error("a request that was answered before is blocked")
 	}
 }
--- a/internal/quarantine/measure_test.go
+++ b/internal/quarantine/measure_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The rule of two needs alerts that are faster than resends. This measures what
-// happens when they are not, next to no quarantine at all.
+// Quarantine after two crashes needs alerts that are faster than resends. This test measures the
+// effect of slower alerts, against no quarantine.
 func TestMeasureSlowAlerts(t *testing.T) {
 	for _, c := range []struct {
 		callers int
@@ -24,43 +24,42 @@
 		{20, 100 * time.Millisecond, 20 * time.Millisecond},
 		{20, 100 * time.Millisecond, 500 * time.Millisecond},
 	} {
-		for _, late := range []time.Duration{c.alert, time.Second} {
-			before, beforeWorst := downs(c.callers, c.resend, c.alert, late, true, true)
-			after, afterWorst := downs(c.callers, c.resend, c.alert, late, true, false)
-			t.Logf("%2d callers, a resend each %v, alerts after %v, at other entry nodes %v: entry alone %.2f on average, %d at worst; checked %.2f, %d",
-				c.callers, c.resend, c.alert, late, before, beforeWorst, after, afterWorst)
+		for _, entryAlert := range []time.Duration{c.alert, time.Second} {
+			before, beforeWorst := measureCrashes(c.callers, c.resend, c.alert, entryAlert, true, true)
+			after, afterWorst := measureCrashes(c.callers, c.resend, c.alert, entryAlert, true, false)
+			t.Logf("%2d callers, a resend each %v, alerts after %v, at other entry nodes %v: %.2f crashes on average, %d at most without the check at the destination; %.2f, %d with it",
+				c.callers, c.resend, c.alert, entryAlert, before, beforeWorst, after, afterWorst)
 			if after > before || afterWorst > beforeWorst {
-				t.Errorf("the check takes down more")
+				t.Errorf("the check at the destination causes more crashes")
 			}
 		}
-		ours, worst := downs(c.callers, c.resend, c.alert, c.alert, true, false)
-		base, _ := downs(c.callers, c.resend, c.alert, c.alert, false, false)
-		t.Logf("%2d callers, a resend each %v, alerts after %v: taken down %.2f on average, %d at worst; without quarantine %.1f in 5 s",
-			c.callers, c.resend, c.alert, ours, worst, base)
-		if ours >= base {
-			t.Errorf("no better than without")
+		withQuarantine, worst := measureCrashes(c.callers, c.resend, c.alert, c.alert, true, false)
+		without, _ := measureCrashes(c.callers, c.resend, c.alert, c.alert, false, false)
+		t.Logf("%2d callers, a resend each %v, alerts after %v: %.2f crashes on average, %d at most; without quarantine %.1f in 5 s",
+			c.callers, c.resend, c.alert, withQuarantine, worst, without)
+		if withQuarantine >= without {
+			t.Errorf("no fewer crashes than without quarantine")
 		}
 		if c.callers == 1 && worst > 2 {
-			t.Errorf("one caller took down %d", worst)
+			t.Errorf("one caller crashed %d backend servers", worst)
 		}
 	}
 }
 
-// downs returns how many backend servers one bad request took down, as a mean
-// over seeds and at worst. Callers send it again some time after it broke or was
-// refused.
-func downs(callers int, resend, alert, late time.Duration, quarantine, unchecked bool) (mean float64, worst int) {
+// measureCrashes returns how many backend servers one bad request crashed, as the mean over seeds
+// and the maximum. Callers resend it some time after it broke or was refused.
+func measureCrashes(callers int, resend, alert, entryAlert time.Duration, quarantine, skipPinCheck bool) (mean float64, worst int) {
 	const seeds = 10
 	for seed := range uint64(seeds) {
-		n := downsOnce(rand.New(rand.NewPCG(1, seed)), callers, resend, alert, late, quarantine, unchecked)
+		n := simulate(rand.New(rand.NewPCG(1, seed)), callers, resend, alert, entryAlert, quarantine, skipPinCheck)
 		mean += float64(n) / seeds
 		worst = max(worst, n)
 	}
 	return mean, worst
 }
 
-// timed is something that happens in downsOnce at a moment.
-type timed struct {
+// timedEvent is an event of simulate.
+type timedEvent struct {
 	at  time.Time
 	run func()
 }
@@ -70,17 +69,17 @@
 	restartAfter = 2 * time.Second
 )
 
-// Callers come in through the last nodes, which hold no endpoint and hear of a
-// crash after late.
-func downsOnce(rng *rand.Rand, callers int, resend, alert, late time.Duration, quarantine, unchecked bool) int {
+// simulate runs the model for 5 s and returns the number of crashes. Callers use the last nodes as
+// entry nodes, which have no endpoint and receive alerts after entryAlert.
+func simulate(rng *rand.Rand, callers int, resend, alert, entryAlert time.Duration, quarantine, skipPinCheck bool) int {
 	const nodes, endpoints = 40, 20
 	m, bad := newMesh(nodes), request("bad")
-	m.unchecked = unchecked
+	m.skipPinCheck = skipPinCheck
 	for i := endpoints; i < nodes; i++ {
 		m.up[i] = false
 	}
-	var todo []timed
-	after := func(d time.Duration, run func()) { todo = append(todo, timed{m.now.Add(d), run}) }
+	var todo []timedEvent
+	after := func(d time.Duration, run func()) { todo = append(todo, timedEvent{m.now.Add(d), run}) }
 	crash := func(at, entry int) {
 		if !m.up[at] {
 			return // another copy crashed it first
@@ -92,8 +91,8 @@
 			return
 		}
 		m.lists[entry].Broke(m.now, bad, endpointID(at))
-		after(alert, func() { m.tellSome(at, 0, endpoints, ns) })
-		after(late, func() { m.tellSome(at, endpoints, nodes, ns) })
+		after(alert, func() { m.deliverTo(at, 0, endpoints, ns) })
+		after(entryAlert, func() { m.deliverTo(at, endpoints, nodes, ns) })
 	}
 	for i := range callers {
 		entry := endpoints + i%endpoints
@@ -122,7 +121,7 @@
 		}
 		e := todo[next]
 		if e.at.After(end) {
-			return m.downs
+			return m.crashCount
 		}
 		todo = slices.Delete(todo, next, next+1)
 		m.now = e.at
@@ -130,10 +129,10 @@
 	}
 }
 
-// A third backend server goes down although all alerts were in time. The first
-// one to crash restarts while the suspect runs alone at its chosen endpoint; if
-// the choice moved to the restarted one, a resend would run beside it.
-func TestChosenEndpointStaysWhenTheCrashedOneReturns(t *testing.T) {
+// The crashed backend server restarts while the suspect runs isolated at its selected endpoint. If
+// the selection moved to the restarted one, a resend would run beside the first copy and crash a
+// third backend server.
+func TestSelectedEndpointIsStableAfterRestart(t *testing.T) {
 	const nodes = 5
 	for i := range 20 {
 		fp := request(fmt.Sprint(i))
@@ -141,20 +140,20 @@
 			m := newMesh(nodes)
 			m.send(0, fp, first)
 			ns, _ := m.crash(first)
-			m.tellAll(first, ns)
+			m.deliverAll(first, ns)
 			before := m.choose(1, fp, 0)
 			m.up[first] = true
 			if after := m.choose(2, fp, 3); after != before || after == first {
-				t.Fatalf("chosen %d, and %d after %d came back", before, after, first)
+				t.Fatalf("selected %d, and %d after %d came back", before, after, first)
 			}
 		}
 	}
 }
 
-// A third backend server goes down after one crash that all nodes of the service
-// heard of. Two copies come at one moment through entry nodes that have not heard
-// of it; each sends its copy to another endpoint, and both go down.
-func TestCopiesThroughNodesThatKnowLess(t *testing.T) {
+// After one crash known to all nodes of the service, two copies arrive through entry nodes that
+// have not received the notice. If each sent its copy to another endpoint, both endpoints would
+// crash.
+func TestCopiesThroughUninformedEntryNodes(t *testing.T) {
 	const nodes, entries = 7, 2
 	for i := range 20 {
 		fp := request(fmt.Sprint(i))
@@ -163,7 +162,7 @@
 			m.up[5], m.up[6] = false, false
 			m.send(0, fp, first)
 			ns, _ := m.crash(first)
-			m.tellSome(first, 0, nodes-entries, ns)
+			m.deliverTo(first, 0, nodes-entries, ns)
 			m.up[first] = true
 			m.send(5, fp, first+1)
 			m.send(6, fp, first+2)
@@ -174,14 +173,13 @@
 	}
 }
 
-// A harmless suspect is refused for ten minutes, since the node that it comes to
-// can't tell which endpoint is chosen, or since a crash that proves nothing put
-// it on the list. It must be run.
-func TestPinnedRefusesOnlyWhatRunsElsewhere(t *testing.T) {
+// A harmless suspect must run if its node can't determine the selected endpoint, or if its crashes
+// prove nothing. Otherwise it would be refused for ten minutes.
+func TestPinnedRefusesOnlyForOtherEndpoints(t *testing.T) {
 	m, fp := newMesh(2), request("harmless")
 	m.send(0, fp, 0)
 	ns, _ := m.crash(0)
-	m.tellAll(0, ns)
+	m.deliverAll(0, ns)
 	for name, tt := range map[string]struct {
 		fp     Fingerprint
 		chosen string
@@ -194,7 +192,7 @@
 	} {
 		r := m.lists[1].Pinned(m.now, tt.fp, "b", func(avoid []string) string {
 			if !slices.Equal(avoid, []string{endpointID(0)}) {
-				t.Errorf("%s: avoids %v", name, avoid)
+				t.Errorf("%s: avoid is %v", name, avoid)
 			}
 			return tt.chosen
 		})
--- a/internal/quarantine/mesh_test.go
+++ b/internal/quarantine/mesh_test.go
@@ -12,16 +12,16 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// mesh models nodes with one backend server each. Every node is an entry node
-// too. Alerts reach the other nodes when deliver is called for them.
+// mesh models nodes with one backend server each. Every node is also an entry node. Notices reach
+// other nodes only by deliver.
 type mesh struct {
-	now   time.Time
-	lists []*List
-	up    []bool
-	runs  []meshRun
-	downs int // backend servers taken down
-	// unchecked leaves the choice of a suspect's endpoint to entry nodes.
-	unchecked bool
+	now        time.Time
+	lists      []*List
+	up         []bool
+	runs       []meshRun
+	crashCount int // backend servers crashed
+	// skipPinCheck leaves the selection of a suspect's endpoint to entry nodes.
+	skipPinCheck bool
 }
 
 type meshRun struct {
@@ -43,18 +43,17 @@
 
 func endpointID(i int) string { return vm(i) + "/b" }
 
-// choose picks where an entry node sends a request, as the proxy does; -1 for
-// nowhere.
+// choose returns the node to which an entry node sends a request, as the proxy does; -1 for none.
 func (m *mesh) choose(entry int, fp Fingerprint, random int) int {
 	l := m.lists[entry]
 	if _, blocked := l.Blocked(m.now, fp); blocked {
 		return -1
 	}
 	if l.Isolated(m.now, fp) {
-		if at := m.home(fp, l.CrashedAt(m.now, fp)); at >= 0 {
+		if at := m.selectedEndpoint(fp, l.CrashedAt(m.now, fp)); at >= 0 {
 			return at
 		}
-		return m.home(fp, nil)
+		return m.selectedEndpoint(fp, nil)
 	}
 	for i := range m.lists {
 		if j := (random + i) % len(m.lists); m.up[j] {
@@ -64,11 +63,11 @@
 	return -1
 }
 
-func (m *mesh) home(fp Fingerprint, not []string) int {
+func (m *mesh) selectedEndpoint(fp Fingerprint, avoid []string) int {
 	best, bestRank := -1, uint64(0)
 	for i := range m.lists {
 		id := endpointID(i)
-		if !m.up[i] || slices.Contains(not, id) {
+		if !m.up[i] || slices.Contains(avoid, id) {
 			continue
 		}
 		if r := xxhash.Sum64String(fp.String() + id); best < 0 || r > bestRank {
@@ -87,7 +86,7 @@
 			break
 		}
 		pinned = append(pinned, endpointID(at))
-		at = m.home(fp, append(m.lists[entry].CrashedAt(m.now, fp), pinned...))
+		at = m.selectedEndpoint(fp, append(m.lists[entry].CrashedAt(m.now, fp), pinned...))
 	}
 	if at < 0 {
 		return false
@@ -100,28 +99,28 @@
 	return true
 }
 
-// pinnedElsewhere reports whether the destination refuses a suspect.
+// pinnedElsewhere reports whether the destination refuses a suspect as pinned to another endpoint.
 func (m *mesh) pinnedElsewhere(at int, fp Fingerprint) bool {
-	if m.unchecked {
+	if m.skipPinCheck {
 		return false
 	}
 	return m.lists[at].Pinned(m.now, fp, "b", func(avoid []string) string {
-		if home := m.home(fp, avoid); home >= 0 {
-			return endpointID(home)
+		if selectedEndpoint := m.selectedEndpoint(fp, avoid); selectedEndpoint >= 0 {
+			return endpointID(selectedEndpoint)
 		}
 		return ""
 	}) != nil
 }
 
-// answer ends run i well.
+// answer ends run i with an answer.
 func (m *mesh) answer(i int) {
 	r := m.runs[i]
 	m.runs = slices.Delete(m.runs, i, i+1)
 	m.lists[r.at].Done(m.now, r.tok, Answered)
 }
 
-// crash takes a backend server down and returns what its node alerts of, and
-// what was in flight.
+// crash crashes a backend server. It returns the alerts of its node and the requests that were in
+// flight.
 func (m *mesh) crash(at int) ([]membership.Notice, []Fingerprint) {
 	var lost []Fingerprint
 	m.runs = slices.DeleteFunc(m.runs, func(r meshRun) bool {
@@ -133,51 +132,50 @@
 		return true
 	})
 	m.up[at] = false
-	m.downs++
+	m.crashCount++
 	return m.lists[at].Crashed(m.now, "b"), lost
 }
 
-func (m *mesh) tell(from, to int, ns []membership.Notice) {
+func (m *mesh) deliver(from, to int, ns []membership.Notice) {
 	m.lists[to].MergeNotices(m.now, vm(from), ns)
 }
 
-func (m *mesh) tellAll(from int, ns []membership.Notice) {
+func (m *mesh) deliverAll(from int, ns []membership.Notice) {
 	for to := range m.lists {
-		m.tell(from, to, ns)
+		m.deliver(from, to, ns)
 	}
 }
 
-// tellSome tells the nodes from first up to last.
-func (m *mesh) tellSome(from, first, last int, ns []membership.Notice) {
+// deliverTo delivers notices to the nodes from first up to, but not including, last.
+func (m *mesh) deliverTo(from, first, last int, ns []membership.Notice) {
 	for to := first; to < last; to++ {
-		m.tell(from, to, ns)
+		m.deliver(from, to, ns)
 	}
 }
 
-// A few resends of one request take down a service, or all bookings are refused
-// after one bad one. Callers send a bad request and harmless ones through any
-// nodes, runs end in any order, and backend servers come back. If an alert
-// arrives before the next run of the bad request elsewhere, it takes down two
-// at most, and whatever was in flight at fewer than two crashes is not refused.
-func TestOneBadRequestTakesDownTwoAtMost(t *testing.T) {
+// Callers send a bad request and harmless ones through any nodes, runs end in any order, and
+// backend servers restart. If alerts arrive before the next run of the bad request, it must crash
+// at most two backend servers, and requests in flight at fewer than two crashes must not be
+// refused.
+func TestBadRequestCrashesAtMostTwo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 5
 		m := newMesh(nodes)
 		bad := request("bad")
-		good := []Fingerprint{request("g0"), request("g1"), request("g2"), request("g3")}
+		harmless := []Fingerprint{request("g0"), request("g1"), request("g2"), request("g3")}
 		crashes := map[Fingerprint]int{}
 		for range 60 {
 			m.now = m.now.Add(10 * time.Millisecond)
 			switch rapid.SampledFrom([]string{"bad", "good", "good", "end", "end", "restart", "notices"}).Draw(t, "step") {
 			case "bad":
-				if m.downs == 0 && m.running(bad) {
-					// Before the first crash nobody can know; the
-					// assumption is that it does not run elsewhere.
+				if m.crashCount == 0 && m.running(bad) {
+					// Before the first crash no node can suspect the request. The model assumes
+					// that it runs at one endpoint only.
 					continue
 				}
 				m.send(rapid.IntRange(0, nodes-1).Draw(t, "entry"), bad, rapid.IntRange(0, nodes-1).Draw(t, "to"))
 			case "good":
-				m.send(rapid.IntRange(0, nodes-1).Draw(t, "entry"), rapid.SampledFrom(good).Draw(t, "which"), rapid.IntRange(0, nodes-1).Draw(t, "to"))
+				m.send(rapid.IntRange(0, nodes-1).Draw(t, "entry"), rapid.SampledFrom(harmless).Draw(t, "which"), rapid.IntRange(0, nodes-1).Draw(t, "to"))
 			case "end":
 				if len(m.runs) == 0 {
 					continue
@@ -192,17 +190,17 @@
 				for _, fp := range slices.Compact(slices.SortedFunc(slices.Values(lost), compareFP)) {
 					crashes[fp]++
 				}
-				m.tellAll(at, ns)
+				m.deliverAll(at, ns)
 			case "restart":
 				m.up[rapid.IntRange(0, nodes-1).Draw(t, "node")] = true
 			case "notices":
 				from := rapid.IntRange(0, nodes-1).Draw(t, "from")
-				m.tell(from, rapid.IntRange(0, nodes-1).Draw(t, "told"), m.lists[from].Notices(m.now))
+				m.deliver(from, rapid.IntRange(0, nodes-1).Draw(t, "receiver"), m.lists[from].Notices(m.now))
 			}
-			if m.downs > 2 {
-				t.Fatalf("%d backend servers taken down", m.downs)
+			if m.crashCount > 2 {
+				t.Fatalf("%d backend servers crashed", m.crashCount)
 			}
-			m.checkGood(t, good, crashes)
+			m.checkHarmlessRuns(t, harmless, crashes)
 		}
 	})
 }
@@ -213,8 +211,8 @@
 	return slices.ContainsFunc(m.runs, func(r meshRun) bool { return r.fp == fp })
 }
 
-func (m *mesh) checkGood(t *rapid.T, good []Fingerprint, crashes map[Fingerprint]int) {
-	for _, fp := range good {
+func (m *mesh) checkHarmlessRuns(t *rapid.T, harmless []Fingerprint, crashes map[Fingerprint]int) {
+	for _, fp := range harmless {
 		if crashes[fp] >= 2 {
 			continue
 		}
@@ -226,8 +224,7 @@
 	}
 }
 
-// Two nodes hold different things true of a request because notices reached
-// them in another order. What they come to hold must not depend on it.
+// Two nodes that receive the same notices in another order must end with the same entry.
 func TestNoticesCommute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fp := request("x")
@@ -257,7 +254,7 @@
 			b.MergeNotices(start, "other", []membership.Notice{n})
 		}
 		x, y := a.Entries(start)[0], b.Entries(start)[0]
-		if x.Kind != y.Kind || !x.same(&y) {
+		if x.Kind != y.Kind || !x.sameCrashes(&y) {
 			t.Fatalf("%+v\n%+v", x, y)
 		}
 	})
--- a/internal/quarantine/notice.go
+++ b/internal/quarantine/notice.go
@@ -10,10 +10,10 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// byAnswer is the LiftedBy of an entry that an answer cleared.
-const byAnswer = "answered"
+// liftedByAnswer is the LiftedBy of an entry that an answer cleared.
+const liftedByAnswer = "answered"
 
-// ErrNotListed means that an operator named a request that is not held.
+// ErrNotListed means that an operator named a request that is neither suspected nor quarantined.
 var ErrNotListed = errors.New("no such request is suspected or quarantined")
 
 func (e *Entry) notice() membership.Notice {
@@ -25,54 +25,52 @@
 	}
 }
 
-// claim makes the entry one that this node tells of. The caller holds mu.
-func (l *List) claim(fp Fingerprint) {
-	if slices.Contains(l.own, fp) {
+// announce adds the entry to those in this node's membership record. The caller holds mu.
+func (l *List) announce(fp Fingerprint) {
+	if slices.Contains(l.announced, fp) {
 		return
 	}
-	l.own = append(l.own, fp)
+	l.announced = append(l.announced, fp)
 }
 
-// Notices returns the facts found at this node, for its membership record.
+// Notices returns the notices about entries found at this node, for its membership record.
 func (l *List) Notices(now time.Time) []membership.Notice {
 	l.mu.Lock()
-	own := slices.Clone(l.own)
+	announced := slices.Clone(l.announced)
 	l.mu.Unlock()
 	m := *l.current.Load()
-	var held []*Entry
-	for _, fp := range own {
+	var listed []*Entry
+	for _, fp := range announced {
 		if e := m[fp]; e != nil && !e.expired(now) {
-			held = append(held, e)
+			listed = append(listed, e)
 		}
 	}
-	slices.SortFunc(held, tellFirst)
-	held = held[:min(len(held), l.opt.MaxNotices)]
-	out := make([]membership.Notice, 0, len(held))
-	for _, e := range held {
+	slices.SortFunc(listed, announceOrder)
+	listed = listed[:min(len(listed), l.opt.MaxNotices)]
+	out := make([]membership.Notice, 0, len(listed))
+	for _, e := range listed {
 		out = append(out, e.notice())
 	}
 	return out
 }
 
-// tellFirst orders entries by what other nodes must hear most: what operators
-// lifted, then as Entries does.
+// announceOrder orders entries by priority in the membership record: entries lifted by an operator,
+// then as Entries does.
 //
-// It guards against a lift that never takes hold: at a node with as many
-// quarantined requests as its record has room for, every lift would come too
-// late in the order to be told, and the others would go on refusing the request.
-func tellFirst(a, b *Entry) int {
+// Lifts come first, since at a node with as many quarantined requests as its record can hold, a
+// lift would otherwise never be announced, and the other nodes would go on refusing the request.
+func announceOrder(a, b *Entry) int {
 	if x, y := a.liftedByOperator(), b.liftedByOperator(); x != y {
 		if x {
 			return -1
 		}
 		return 1
 	}
-	return dropFirst(b, a)
+	return evictionOrder(b, a)
 }
 
-// MergeNotices takes in what another node tells. Notices of other packages are
-// passed over, and so are those that can't be read. Merging the same notice
-// again, or notices in another order, changes nothing.
+// MergeNotices merges the notices of another node. It ignores notices of other packages and
+// malformed ones. Merging is idempotent and commutative.
 func (l *List) MergeNotices(now time.Time, from string, ns []membership.Notice) {
 	if from == l.opt.Self || len(ns) == 0 {
 		return
@@ -82,16 +80,16 @@
 	old := *l.current.Load()
 	next := entries(nil)
 	for _, n := range ns {
-		told := l.read(now, n)
-		if told == nil {
+		received := l.parseNotice(now, n)
+		if received == nil {
 			continue
 		}
-		held := old[told.Fingerprint]
+		known := old[received.Fingerprint]
 		if next != nil {
-			held = next[told.Fingerprint]
+			known = next[received.Fingerprint]
 		}
-		e := combine(now, held, told)
-		if e == held {
+		e := mergeEntries(now, known, received)
+		if e == known {
 			continue
 		}
 		if next == nil {
@@ -104,9 +102,9 @@
 	}
 }
 
-// read returns the entry that a notice tells of, or nil. The expiry of another
-// node's clock is bounded by our own, so that a wrong clock can't make it last.
-func (l *List) read(now time.Time, n membership.Notice) *Entry {
+// parseNotice returns the entry of a notice, or nil. The expiry is bounded by this node's clock, so
+// that another node's wrong clock can't extend it.
+func (l *List) parseNotice(now time.Time, n membership.Notice) *Entry {
 	k := Kind(n.Kind)
 	if k != KindSuspect && k != KindQuarantined && k != KindLifted {
 		return nil
@@ -119,7 +117,7 @@
 	if json.Unmarshal([]byte(n.Detail), &d) != nil {
 		return nil
 	}
-	e := (&Entry{Fingerprint: fp, RequestLine: d.RequestLine, LiftedBy: d.LiftedBy}).with(d.Crashes, d.Lifted)
+	e := (&Entry{Fingerprint: fp, RequestLine: d.RequestLine, LiftedBy: d.LiftedBy}).withCrashes(d.Crashes, d.Lifted)
 	e.Expires = time.UnixMilli(n.Expires)
 	if last := now.Add(l.lifetime(e.Kind)); e.Expires.After(last) {
 		e.Expires = last
@@ -130,34 +128,35 @@
 	return e
 }
 
-// combine returns what two entries for one request come to; it returns held
-// itself when told adds nothing. Lifts take off single crashes and don't go by
-// time, so two clocks don't decide which came later.
-func combine(now time.Time, held, told *Entry) *Entry {
-	if held == nil || held.expired(now) {
-		return told
+// mergeEntries merges two entries for one request; it returns known itself if received adds
+// nothing. Lifts remove single crashes regardless of time, so the result does not depend on whose
+// clock is ahead.
+func mergeEntries(now time.Time, known, received *Entry) *Entry {
+	if known == nil || known.expired(now) {
+		return received
 	}
-	e := held.with(told.Crashes, told.Lifted)
-	if e.same(held) {
-		return held
+	e := known.withCrashes(received.Crashes, received.Lifted)
+	if e.sameCrashes(known) {
+		return known
 	}
-	if told.Expires.After(e.Expires) {
-		e.Expires = told.Expires
+	if received.Expires.After(e.Expires) {
+		e.Expires = received.Expires
 	}
-	if e.Kind == KindLifted && told.LiftedBy != "" {
-		e.LiftedBy = told.LiftedBy
+	if e.Kind == KindLifted && received.LiftedBy != "" {
+		e.LiftedBy = received.LiftedBy
 	}
 	return e
 }
 
-// Lift lets a request run again, by the operator's order. The crashes counted
-// so far no longer count; the notice spreads to the other nodes.
+// Lift lets a request run again by an operator's order. The crashes so far no longer count, and the
+// notice spreads to the other nodes. The error is ErrNotListed if the request is neither suspected
+// nor quarantined.
 func (l *List) Lift(now time.Time, fp Fingerprint, by string) error {
 	if e := l.lookup(now, fp); e == nil || e.Kind == KindLifted {
 		return ErrNotListed
 	}
 	l.clear(now, fp, by)
-	l.held.drop(fp)
+	l.entryHolds.drop(fp)
 	return nil
 }
 
@@ -169,15 +168,14 @@
 	if e == nil || e.Kind == KindLifted {
 		return
 	}
-	if e.Kind == KindQuarantined && by == byAnswer {
-		// A run that began before the quarantine doesn't end it: two
-		// crashes weigh more than one answer.
+	if e.Kind == KindQuarantined && by == liftedByAnswer {
+		// A run that began before the quarantine doesn't end it: two crashes outweigh one answer.
 		return
 	}
-	lifted := e.with(nil, e.lifts())
+	lifted := e.withCrashes(nil, e.shortCrashIDs())
 	lifted.LiftedBy = by
 	lifted.Expires = now.Add(l.lifetime(KindLifted))
 	next[fp] = lifted
-	l.claim(fp)
+	l.announce(fp)
 	l.publish(now, next)
 }
--- a/internal/quarantine/notice_test.go
+++ b/internal/quarantine/notice_test.go
@@ -8,12 +8,12 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// Whatever a peer tells: a fact lasts no longer than this node's own would, and
-// hearing it again changes nothing, or two nodes would tell each other for ever.
+// For any notice of a peer, an entry must not outlast this node's own lifetimes, and merging the
+// notice again must change nothing, or two nodes would notify each other endlessly.
 func FuzzMergeNotices(f *testing.F) {
-	told := newList("b")
+	origin := newList("b")
 	for range 2 {
-		for _, n := range crash(f, told, start, "b/1", request("x")) {
+		for _, n := range crash(f, origin, start, "b/1", request("x")) {
 			f.Add(n.Kind, n.ID, n.Detail, n.Expires)
 		}
 	}
@@ -34,7 +34,7 @@
 		}
 		l.MergeNotices(start.Add(time.Second), "c", n)
 		if again := l.Entries(start); !reflect.DeepEqual(again, once) {
-			t.Errorf("told again: %+v became %+v", once, again)
+			t.Errorf("merged again: %+v became %+v", once, again)
 		}
 	})
 }
--- a/internal/quarantine/pin.go
+++ b/internal/quarantine/pin.go
@@ -6,21 +6,20 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// MaxPinnedRefusals is how often a call is refused as pinned to another endpoint before
-// the next endpoint runs it all the same.
+// MaxPinnedRefusals is how often a call is refused as pinned to another endpoint before the next
+// endpoint runs it anyway.
 //
-// It guards against locking out a harmless suspect. Nodes may see other
-// endpoints as open, and then each sends the suspect on to the next one.
+// Without the limit a harmless suspect could be locked out: nodes may disagree about which
+// endpoints are open, and each then refers the suspect to another one.
 const MaxPinnedRefusals = 2
 
-// Pinned is asked at the destination node, before Start. It returns a refusal if
-// a crash made the request a suspect and another endpoint is chosen for it.
-// Choose returns that endpoint as VM/backend server, and is given those that
-// crashed with the request; it returns "" if it can't tell.
+// Pinned checks, at the destination node before Start, whether a suspect has to run at another
+// endpoint. If so, it returns the refusal. choose returns the selected endpoint as VM/backend
+// server, without those in avoid, which crashed with the request, or "" if it is unknown.
 //
-// It guards against a third crash. An entry node that has not heard of the first
-// one sends a copy to any endpoint, beside the copy that runs at the chosen one,
-// and both crash. The nodes that hold the service hear of crashes first.
+// This prevents a third crash. An entry node that has not yet received the first crash sends a copy
+// of the request to any endpoint, beside the copy at the selected one, and both crash. The nodes
+// that hold the service are the first to be notified of crashes.
 func (l *List) Pinned(now time.Time, fp Fingerprint, endpoint string, choose func(avoid []string) string) *call.Refusal {
 	e := l.lookup(now, fp)
 	if e == nil || !e.isolated() {
@@ -32,7 +31,7 @@
 	}
 	return &call.Refusal{
 		Reason:     call.ReasonPinned,
-		RetryAfter: isolatedRetry,
+		RetryAfter: isolatedRetryAfter,
 		Detail:     "the suspect request runs at another endpoint",
 	}
 }
