--- a/internal/follow/contact_test.go
+++ b/internal/follow/contact_test.go
@@ -54,7 +54,7 @@
 // newFeederless starts the node, and returns once it holds the first version.
 func newFeederless(t *testing.T, ctx context.Context) *feederless {
 	f := &feederless{t: t, view: crowd(t), newest: config.Empty(), changed: make(chan struct{}), peers: make(map[string]reach)}
-	var views membership.Views
+	var views membership.CurrentView
 	views.Store(f.view)
 	store, err := config.NewStore(func(*config.Snapshot) (int, error) { return 0, nil })
 	if err != nil {
@@ -95,7 +95,7 @@
 	for id := range f.view.Records {
 		switch {
 		case id == "me":
-		case distribute.Feeds(f.view, id, "dc"):
+		case distribute.IsFeeder(f.view, id, "dc"):
 			feeders = append(feeders, id)
 		default:
 			others = append(others, id)
@@ -138,8 +138,8 @@
 	}
 }
 
-// Tell implements distribute.Client. What this node tells changes nothing.
-func (f *feederless) Tell(context.Context, string, *peerpb.Packed) error { return nil }
+// Push implements distribute.Client. What this node tells changes nothing.
+func (f *feederless) Push(context.Context, string, *peerpb.Packed) error { return nil }
 
 // Pull implements distribute.Client.
 func (f *feederless) Pull(ctx context.Context, to, _ string, q *peerpb.PullRequest) (*peerpb.PullResponse, error) {
--- a/internal/proxy/look_model_test.go
+++ b/internal/proxy/look_model_test.go
@@ -60,7 +60,7 @@
 	nodes  []*modelNode
 	byID   map[string]*modelNode
 	rng    *rand.Rand
-	agenda agenda.Agenda
+	agenda agenda.EventQueue
 	start  time.Time
 	owners map[*limit.Entry]func(now time.Time, refused *call.Refusal)
 
@@ -93,7 +93,7 @@
 	return m
 }
 
-func (m *model) at(t time.Time, do func(time.Time)) { m.agenda.At(t, do) }
+func (m *model) at(t time.Time, do func(time.Time)) { m.agenda.Schedule(t, do) }
 
 // restartInTurn makes half of the endpoints come back one after the other, as new, over the
 // measured time. What a restart itself takes is left out.
@@ -166,7 +166,7 @@
 }
 
 func (m *model) arrive(now time.Time, c *modelCall, choice route.Choice, to *modelNode, way time.Duration, wait bool) {
-	e := &limit.Entry{Asked: c.asked, NoWait: !wait}
+	e := &limit.Entry{FirstAttempt: c.asked, NoWait: !wait}
 	m.owners[e] = func(at time.Time, refused *call.Refusal) {
 		delete(m.owners, e)
 		if refused == nil {
