--- a/internal/announce/check.go
+++ b/internal/announce/check.go
@@ -15,7 +15,7 @@
 	MaxLoad          = 1000000
 )
 
-var name = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
 
 // ParseAddress reads the loopback address that a backend server listens on. A
 // node forwards calls to it, so an address elsewhere would turn the node into
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func check(a Announcement, l Limits) error {
+func validate(a Announcement, l Limits) error {
 	switch {
 	case !validName(a.Instance):
 		return &FieldError{"instance", "must be lower-case letters, digits and hyphens, at most 63"}
@@ -64,4 +64,4 @@
 	return checkAddress(a.Address)
 }
 
-func validName(s string) bool { return len(s) <= MaxNameLength && name.MatchString(s) }
+func validName(s string) bool { return len(s) <= MaxNameLength && namePattern.MatchString(s) }
--- a/internal/announce/gone.go
+++ b/internal/announce/departed.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// maxGone bounds the instances remembered as gone. One VM has one backend server
+// maxDeparted bounds the instances remembered as gone. One VM has one backend server
 // at a time, and announcements come late by seconds.
-const maxGone = 64
+const maxDeparted = 64
 
-// goneInstances are the last instances that left or were replaced, oldest first,
+// departedInstances are the last instances that left or were replaced, oldest first,
 // each with the start of its last incarnation that did. Unless all are kept, only
 // those are that tell their start or number their announcements: others may come
 // back under the same name.
-type goneInstances struct {
-	list []goneInstance
+type departedInstances struct {
+	list []departedInstance
 	// keepAll keeps those as well of which no announcement has arrived: a node that
 	// started a moment ago hears an instance leave that it never heard announce itself.
 	keepAll bool
 }
 
-type goneInstance struct {
+type departedInstance struct {
 	name    string
 	started int64 // Unix ms; zero where an instance doesn't come back
 }
 
-func (g *goneInstances) add(a Announcement) {
+func (g *departedInstances) add(a Announcement) {
 	if !g.keepAll && a.Sequence == 0 && a.Started == 0 {
 		return
 	}
@@ -30,19 +30,19 @@
 		g.list[at].started = max(g.list[at].started, a.Started)
 		return
 	}
-	if len(g.list) >= maxGone {
+	if len(g.list) >= maxDeparted {
 		g.list = g.list[1:]
 	}
-	g.list = append(g.list, goneInstance{a.Instance, a.Started})
+	g.list = append(g.list, departedInstance{a.Instance, a.Started})
 }
 
 // has reports whether the incarnation that a tells of has gone, or one that
 // started after it.
-func (g *goneInstances) has(a Announcement) bool {
+func (g *departedInstances) has(a Announcement) bool {
 	at := g.find(a.Instance)
 	return at >= 0 && a.Started <= g.list[at].started
 }
 
-func (g *goneInstances) find(name string) int {
-	return slices.IndexFunc(g.list, func(i goneInstance) bool { return i.name == name })
+func (g *departedInstances) find(name string) int {
+	return slices.IndexFunc(g.list, func(i departedInstance) bool { return i.name == name })
 }
--- a/internal/announce/gone_test.go
+++ b/internal/announce/departed_test.go
@@ -19,7 +19,7 @@
 // hears of it is its word to leave, which is acknowledged. Then a heartbeat arrives that
 // was sent before: the backend server was taken for a new one, and got calls three
 // seconds after it was told that none would come.
-func TestLeaveOfAnUnknownInstanceBinds(t *testing.T) {
+func TestWithdrawalOfUnknownInstanceIsRemembered(t *testing.T) {
 	for name, before := range map[string]func(*Registry){
 		"unheard of": func(*Registry) {},
 		"known by a probe alone, which has no number": func(r *Registry) {
@@ -46,7 +46,7 @@
 // A backend server says that it drains, and is cut off with its node's other traffic until
 // its lease ends. Then a heartbeat arrives that was sent before the drain. It brought the
 // backend server back as ready, with an acknowledged drain behind it.
-func TestDrainOutlastsTheLease(t *testing.T) {
+func TestDrainingIsRememberedAfterExpiry(t *testing.T) {
 	r := NewRegistry(Limits{TTL: time.Second, MaxBackends: 4, NoInstanceReuse: true})
 	r.Expire(start)
 	put(t, r, start, numbered(7, membership.BackendDraining))
@@ -63,7 +63,7 @@
 
 // Where names are used again, a backend server that left and starts anew under its name
 // must come back into service at once.
-func TestNamesMayBeUsedAgain(t *testing.T) {
+func TestInstanceNamesCanBeReused(t *testing.T) {
 	r := NewRegistry(Limits{TTL: time.Minute, MaxBackends: 4})
 	r.Withdraw(Withdrawal{Instance: "a"})
 	put(t, r, start, berth("a", "127.0.0.1:1"))
--- a/internal/announce/property_test.go
+++ b/internal/announce/property_test.go
@@ -16,7 +16,7 @@
 
 // Whatever comes in which order: no address and no instance stands twice, the
 // bound holds, and whoever's lease has run out is gone after Expire.
-func TestRegistryHoldsTogether(t *testing.T) {
+func TestRegistryInvariants(t *testing.T) {
 	const limit = 4
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: limit})
@@ -40,12 +40,12 @@
 					}
 				}
 			}
-			checkTogether(t, r.Load(), limit)
+			checkInvariants(t, r.Load(), limit)
 		}
 	})
 }
 
-func checkTogether(t *rapid.T, list []Backend, limit int) {
+func checkInvariants(t *rapid.T, list []Backend, limit int) {
 	if len(list) > limit {
 		t.Fatalf("%d held", len(list))
 	}
--- a/internal/announce/registry.go
+++ b/internal/announce/registry.go
@@ -129,14 +129,14 @@
 
 	mu        sync.Mutex // serialises writers
 	lastSweep time.Time
-	gone      goneInstances
+	departed  departedInstances
 
 	refused atomic.Uint64
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry(l Limits) *Registry {
-	r := &Registry{limits: l, gone: goneInstances{keepAll: l.NoInstanceReuse}}
+	r := &Registry{limits: l, departed: departedInstances{keepAll: l.NoInstanceReuse}}
 	r.list.Store(&[]Backend{})
 	return r
 }
@@ -158,7 +158,7 @@
 // Put announces a backend server or renews its lease. It returns what changed,
 // which includes any backend server that the new one took the place of.
 func (r *Registry) Put(now time.Time, a Announcement) ([]Change, error) {
-	if err := check(a, r.limits); err != nil {
+	if err := validate(a, r.limits); err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
@@ -166,7 +166,7 @@
 	if r.stale(a) {
 		return nil, ErrStale
 	}
-	list, changes := r.without(a.Address, a.Instance)
+	list, changes := r.evictAtAddress(a.Address, a.Instance)
 	b := Backend{Announcement: a, Addr: a.Address.String(), LoadAt: now, Expires: now.Add(r.limits.TTL)}
 	at, known := find(list, a.Instance)
 	if !known {
@@ -177,7 +177,7 @@
 		r.publish(slices.Insert(list, at, b))
 		return append(changes, Change{Kind: Added, Backend: b}), nil
 	}
-	kind, was := compare(list[at], a), list[at].State
+	kind, was := classifyChange(list[at], a), list[at].State
 	old := &list[at]
 	if kind == Replaced {
 		old = nil
@@ -188,18 +188,18 @@
 	return append(changes, Change{Kind: kind, Backend: b, PreviousState: was}), nil
 }
 
-// without returns a copy of the list less any other instance at the address.
+// evictAtAddress returns a copy of the list less any other instance at the address.
 //
 // It guards against a backend server that crashed and came back under another
 // instance name before its old lease ran out. Both entries would lead to the
 // same process, and its slots would count twice. Only one process can listen on
 // an address, so the newer announcement is the true one.
-func (r *Registry) without(address netip.AddrPort, instance string) ([]Backend, []Change) {
+func (r *Registry) evictAtAddress(address netip.AddrPort, instance string) ([]Backend, []Change) {
 	list := make([]Backend, 0, len(r.Load())+1)
 	var gone []Change
 	for _, b := range r.Load() {
 		if b.Address == address && b.Instance != instance {
-			r.gone.add(b.Announcement)
+			r.departed.add(b.Announcement)
 			gone = append(gone, Change{Kind: Replaced, Backend: b, PreviousState: b.State})
 			continue
 		}
@@ -208,10 +208,10 @@
 	return list, gone
 }
 
-// compare tells how an announcement differs from the one before. Another start,
+// classifyChange tells how an announcement differs from the one before. Another start,
 // address or service under the same instance is another backend server: what
 // was known of the old one, such as its being warm, does not hold for it.
-func compare(old Backend, a Announcement) ChangeKind {
+func classifyChange(old Backend, a Announcement) ChangeKind {
 	restarted := old.Started != 0 && old.Started != a.Started
 	switch {
 	case restarted || old.Address != a.Address || old.Service != a.Service || old.Version != a.Version:
@@ -252,14 +252,14 @@
 	list := slices.Clone(r.Load())
 	at, known := find(list, w.Instance)
 	if !known || w.Started != 0 && w.Started < list[at].Started {
-		r.gone.add(Announcement{Instance: w.Instance, Started: w.Started})
+		r.departed.add(Announcement{Instance: w.Instance, Started: w.Started})
 		return nil
 	}
-	r.gone.add(list[at].Announcement)
+	r.departed.add(list[at].Announcement)
 	if w.Started > list[at].Started {
 		// The one that leaves has begun after the one that is known, and none of
 		// its announcements arrived.
-		r.gone.add(Announcement{Instance: w.Instance, Started: w.Started})
+		r.departed.add(Announcement{Instance: w.Instance, Started: w.Started})
 	}
 	if w.Address.IsValid() && list[at].Address != w.Address {
 		return nil
@@ -290,7 +290,7 @@
 		if b.Expires.After(now) {
 			kept = append(kept, b)
 		} else {
-			r.keepDrained(b)
+			r.rememberDraining(b)
 			gone = append(gone, Change{Kind: Expired, Backend: b, PreviousState: b.State})
 		}
 	}
@@ -300,13 +300,13 @@
 	return gone
 }
 
-// keepDrained remembers a backend server that fell silent while it drained.
+// rememberDraining remembers a backend server that fell silent while it drained.
 //
 // It guards against its late heartbeats. With its lease its number was forgotten, and
 // one that a cut had held up since before the drain would put it back into service.
-func (r *Registry) keepDrained(b Backend) {
+func (r *Registry) rememberDraining(b Backend) {
 	if b.State == membership.BackendDraining {
-		r.gone.add(b.Announcement)
+		r.departed.add(b.Announcement)
 	}
 }
 
@@ -318,7 +318,7 @@
 // would be sent to a backend server that is no longer there; one that was sent
 // before "draining" would put the instance back into service.
 func (r *Registry) stale(a Announcement) bool {
-	if r.gone.has(a) {
+	if r.departed.has(a) {
 		return true
 	}
 	for _, b := range r.Load() {
--- a/internal/announce/registry_test.go
+++ b/internal/announce/registry_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestPutTellsWhatChanged(t *testing.T) {
+func TestPutReportsChanges(t *testing.T) {
 	first := berth("a", "127.0.0.1:1")
 	tests := []struct {
 		name      string
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestPutRefuses(t *testing.T) {
+func TestPutRejectsInvalidFields(t *testing.T) {
 	tests := []struct {
 		field  string
 		change func(*Announcement)
@@ -135,7 +135,7 @@
 // A backend server crashes and returns at once under a new instance name on its
 // old port. Callers would see it get twice its calls until the old lease ends,
 // because both entries lead to the one process.
-func TestSameAddressTakesThePlace(t *testing.T) {
+func TestSameAddressReplacesInstance(t *testing.T) {
 	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: 1})
 	put(t, r, start, berth("old", "127.0.0.1:1"))
 	wantKinds(t, put(t, r, start, berth("new", "127.0.0.1:1")), Replaced, Added)
@@ -147,7 +147,7 @@
 // A backend server restarts on another port. The old process withdraws after
 // the new one has announced itself, and takes the new one out of the mesh: its
 // callers are refused until the next renewal.
-func TestLateWithdrawalLeavesTheSuccessor(t *testing.T) {
+func TestLateWithdrawalKeepsSuccessor(t *testing.T) {
 	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
 	old, successor := berth("a", "127.0.0.1:1"), berth("a", "127.0.0.1:2")
 	put(t, r, start, old)
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestMembers(t *testing.T) {
+func TestMembershipBackends(t *testing.T) {
 	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
 	put(t, r, start, berth("a", "127.0.0.1:1"))
 	cold := berth("b", "127.0.0.1:2")
--- a/internal/announce/server.go
+++ b/internal/announce/server.go
@@ -38,7 +38,7 @@
 // Handler returns the HTTP side of the API.
 func (s *Server) Handler() (http.Handler, error) {
 	h, err := announceapi.NewServer(handler{s}, announceapi.WithPathPrefix("/v1"),
-		announceapi.WithErrorHandler(s.undecoded))
+		announceapi.WithErrorHandler(s.handleDecodeError))
 	if err != nil {
 		return nil, err
 	}
@@ -54,13 +54,13 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.tell(s.registry.Expire(s.now()))
+			s.notify(s.registry.Expire(s.now()))
 		}
 	}
 }
 
-// tell passes on the changes that the mesh has to hear of.
-func (s *Server) tell(all []Change) {
+// notify passes on the changes that the mesh has to hear of.
+func (s *Server) notify(all []Change) {
 	if visible := RecordChanges(all); len(visible) > 0 {
 		s.onChange(visible)
 	}
@@ -89,14 +89,14 @@
 		Service:  string(req.Service),
 		Address:  address,
 		Slots:    req.Slots,
-		State:    states[req.State],
+		State:    stateByName[req.State],
 		Version:  req.Version.Or(""),
 		Load:     req.Load.Or(0),
 	})
 	if err != nil {
 		return nil, err
 	}
-	h.s.tell(changes)
+	h.s.notify(changes)
 	limits := h.s.registry.Limits()
 	return &announceapi.Lease{
 		TTLMs:        limits.TTL.Milliseconds(),
@@ -112,7 +112,7 @@
 			return err
 		}
 	}
-	h.s.tell(h.s.registry.Withdraw(Withdrawal{Instance: string(p.Instance), Address: address}))
+	h.s.notify(h.s.registry.Withdraw(Withdrawal{Instance: string(p.Instance), Address: address}))
 	return nil
 }
 
@@ -140,14 +140,14 @@
 	return out, nil
 }
 
-var states = map[announceapi.State]membership.BackendState{
+var stateByName = map[announceapi.State]membership.BackendState{
 	announceapi.StateStarting: membership.BackendStarting,
 	announceapi.StateReady:    membership.BackendReady,
 	announceapi.StateDraining: membership.BackendDraining,
 }
 
 func stateName(s membership.BackendState) announceapi.State {
-	for name, state := range states {
+	for name, state := range stateByName {
 		if state == s {
 			return name
 		}
@@ -160,17 +160,17 @@
 	var field *FieldError
 	switch {
 	case errors.As(err, &field):
-		return document(http.StatusUnprocessableEntity, field.Field, field.Reason)
+		return problemDocument(http.StatusUnprocessableEntity, field.Field, field.Reason)
 	case errors.Is(err, ErrTooMany):
-		return document(http.StatusTooManyRequests, "", "too many backend servers on this VM")
+		return problemDocument(http.StatusTooManyRequests, "", "too many backend servers on this VM")
 	}
 	if f, ok := problem.FromDecoder(err); ok {
-		return document(f.Status, f.Field, f.Detail)
+		return problemDocument(f.Status, f.Field, f.Detail)
 	}
-	return document(http.StatusInternalServerError, "", "internal error")
+	return problemDocument(http.StatusInternalServerError, "", "internal error")
 }
 
-func document(status int, field, detail string) *announceapi.ProblemStatusCode {
+func problemDocument(status int, field, detail string) *announceapi.ProblemStatusCode {
 	p := announceapi.Problem{Type: "about:blank", Title: http.StatusText(status), Status: status}
 	p.Detail.SetTo(detail)
 	if field != "" {
@@ -179,8 +179,8 @@
 	return &announceapi.ProblemStatusCode{StatusCode: status, Response: p}
 }
 
-// undecoded answers a request that never reached the handler.
-func (s *Server) undecoded(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
+// handleDecodeError answers a request that never reached the handler.
+func (s *Server) handleDecodeError(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 	p := handler{s}.NewError(ctx, err)
 	body, err := p.Response.MarshalJSON()
 	if err != nil {
--- a/internal/announce/server_test.go
+++ b/internal/announce/server_test.go
@@ -32,17 +32,17 @@
 
 func TestAnnounceOverSockets(t *testing.T) {
 	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
-	var told []ChangeKind
-	url := serve(t, NewServer(r, func() time.Time { return start }, func(c []Change) { told = append(told, kinds(c)...) }))
+	var reported []ChangeKind
+	url := serve(t, NewServer(r, func() time.Time { return start }, func(c []Change) { reported = append(reported, kinds(c)...) }))
 	client, err := announceapi.NewClient(url)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx := context.Background()
-	say := &announceapi.Announcement{Service: "berth", Address: "127.0.0.1:8080", Slots: 6, State: announceapi.StateReady}
+	announcement := &announceapi.Announcement{Service: "berth", Address: "127.0.0.1:8080", Slots: 6, State: announceapi.StateReady}
 	params := announceapi.PutBackendParams{Instance: "a"}
 	for range 2 {
-		lease, err := client.PutBackend(ctx, say, params)
+		lease, err := client.PutBackend(ctx, announcement, params)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,8 +50,8 @@
 			t.Errorf("lease %+v", lease)
 		}
 	}
-	say.State = announceapi.StateDraining
-	if _, err := client.PutBackend(ctx, say, params); err != nil {
+	announcement.State = announceapi.StateDraining
+	if _, err := client.PutBackend(ctx, announcement, params); err != nil {
 		t.Fatal(err)
 	}
 	list, err := client.ListBackends(ctx)
@@ -64,8 +64,8 @@
 		}
 	}
 	want := []ChangeKind{Added, Changed, Withdrawn}
-	if len(told) != 3 || told[0] != want[0] || told[1] != want[1] || told[2] != want[2] {
-		t.Errorf("told of %v, want %v", told, want)
+	if len(reported) != 3 || reported[0] != want[0] || reported[1] != want[1] || reported[2] != want[2] {
+		t.Errorf("told of %v, want %v", reported, want)
 	}
 }
 
@@ -119,12 +119,12 @@
 func TestRunExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
-		told := make(chan []Change, 1)
-		s := NewServer(r, time.Now, func(c []Change) { told <- c })
+		reported := make(chan []Change, 1)
+		s := NewServer(r, time.Now, func(c []Change) { reported <- c })
 		put(t, r, time.Now(), berth("a", "127.0.0.1:1"))
 		ctx, stop := context.WithCancel(context.Background())
 		go s.Run(ctx)
-		wantKinds(t, <-told, Expired)
+		wantKinds(t, <-reported, Expired)
 		stop()
 		synctest.Wait()
 	})
--- a/internal/membership/bounds_test.go
+++ b/internal/membership/bounds_test.go
@@ -14,7 +14,7 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-func alone(configure func(*Config)) *State {
+func newTestState(configure func(*Config)) *State {
 	cfg := DefaultConfig(VM{ID: "vm-0", DataCentre: "dc-0", ControlAddr: "10.0.0.1:7000"})
 	if configure != nil {
 		configure(&cfg)
@@ -47,7 +47,7 @@
 	}
 	for name, spoil := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := alone(nil)
+			s := newTestState(nil)
 			bad := goodRecord()
 			spoil(bad)
 			msg := &peerpb.Membership{Kind: peerpb.Kind_KIND_PUSH, From: "vm-2", Records: []*peerpb.Record{bad, goodRecord()}}
@@ -60,7 +60,7 @@
 }
 
 func TestRecordsAreBounded(t *testing.T) {
-	s := alone(func(c *Config) { c.Limits.Records = 10 })
+	s := newTestState(func(c *Config) { c.Limits.Records = 10 })
 	for i := range 20 {
 		r := goodRecord()
 		r.Id = fmt.Sprintf("vm-%d", i+1)
@@ -74,18 +74,18 @@
 // A peer sends a full state of a few bytes that unpacks to gigabytes. Taken
 // without a bound it would kill the joining node, and again at each restart.
 func TestFullStateIsBounded(t *testing.T) {
-	s := alone(func(c *Config) { c.Limits.FullStateBytes = 1 << 20 })
+	s := newTestState(func(c *Config) { c.Limits.FullStateBytes = 1 << 20 })
 	bomb, err := compress(make([]byte, 8<<20))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.takeFull(bomb, 0) {
+	if s.mergeFullState(bomb, 0) {
 		t.Error("taken")
 	}
 }
 
 func TestOwnRecordIsBounded(t *testing.T) {
-	s := alone(nil)
+	s := newTestState(nil)
 	if err := s.SetBackends(epoch, make([]Backend, 65)); !errors.Is(err, ErrRecordTooLarge) {
 		t.Errorf("backends: %v", err)
 	}
@@ -97,7 +97,7 @@
 // A message under another name than the one that its certificate gives must
 // change nothing.
 func TestForeignSenderIsRefused(t *testing.T) {
-	s := alone(nil)
+	s := newTestState(nil)
 	s.HandleRequest(epoch, "vm-3", &peerpb.Membership{Kind: peerpb.Kind_KIND_PUSH, From: "vm-2", Records: []*peerpb.Record{goodRecord()}})
 	if st := s.Stats(); st.Refused != 1 || st.Records != 1 {
 		t.Errorf("refused %d, holds %d", st.Refused, st.Records)
@@ -107,7 +107,7 @@
 // A claim with a sequence that this node never made can't make it raise its
 // record to any number that a peer likes.
 func TestOnlyTheOwnerRaisesSequence(t *testing.T) {
-	s := alone(nil)
+	s := newTestState(nil)
 	before := s.self.stamp()
 	forged := &peerpb.Claim{Id: "vm-0", Incarnation: before.incarnation, Sequence: 1 << 60}
 	s.HandleRequest(epoch, "vm-2", &peerpb.Membership{Kind: peerpb.Kind_KIND_PUSH, From: "vm-2", Claims: []*peerpb.Claim{forged}})
@@ -122,7 +122,7 @@
 }
 
 func TestJoinsAreBounded(t *testing.T) {
-	s := alone(nil)
+	s := newTestState(nil)
 	served := 0
 	for i := range 100 {
 		id := fmt.Sprintf("vm-%d", i+1)
@@ -140,15 +140,15 @@
 
 // Messages are as large as the budget allows, whatever there is to tell.
 func TestMessagesKeepTheBudget(t *testing.T) {
-	w := warm(60, nil)
+	w := newConvergedMesh(60, nil)
 	for _, v := range w.nodes {
 		for _, e := range v.entries {
-			v.heat(e, 0)
+			v.queueRecord(e, 0)
 		}
 	}
 	v := w.nodes[0]
 	m := &peerpb.Membership{}
-	v.fill(m, w.nodes[5].info.ID, nil)
+	v.piggyback(m, w.nodes[5].info.ID, nil)
 	if n := proto.Size(m); n > v.cfg.MessageBytes+200 || n < v.cfg.MessageBytes/2 {
 		t.Errorf("%d bytes", n)
 	}
@@ -171,12 +171,12 @@
 		if proto.Unmarshal(raw, &m) != nil {
 			return
 		}
-		s := alone(func(c *Config) { c.Seeds = []string{"10.0.0.9:7000"} })
+		s := newTestState(func(c *Config) { c.Seeds = []string{"10.0.0.9:7000"} })
 		s.accept(goodRecord(), 0)
 		s.HandleRequest(epoch, m.GetFrom(), &m)
 		now := epoch
 		for range 100 {
-			now = now.Add(tickEvery)
+			now = now.Add(tickInterval)
 			for _, send := range s.Tick(now) {
 				s.HandleAnswer(now, send.ID, &m)
 			}
@@ -187,9 +187,9 @@
 	})
 }
 
-// full returns a state with n records of others.
-func full(n int) *State {
-	s := alone(nil)
+// newPopulatedState returns a state with n records of others.
+func newPopulatedState(n int) *State {
+	s := newTestState(nil)
 	for i := range n {
 		r := goodRecord()
 		r.Id = fmt.Sprintf("vm-%d", i+1)
@@ -197,17 +197,17 @@
 		r.Backends = []*peerpb.Backend{{Service: fmt.Sprintf("service-%d", i%61), Instance: "i-1", Slots: 8, State: 2}}
 		s.accept(r, 0)
 	}
-	clear(s.hot)
-	s.becomeJoined()
-	s.Tick(epoch.Add(tickEvery))
-	s.View(epoch.Add(tickEvery))
+	clear(s.queued)
+	s.markJoined()
+	s.Tick(epoch.Add(tickInterval))
+	s.View(epoch.Add(tickInterval))
 	return s
 }
 
 func BenchmarkViewAfterOneChange(b *testing.B) {
 	for _, n := range []int{12, 108, 240, 300, 600, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := full(n)
+			s := newPopulatedState(n)
 			b.ReportAllocs()
 			for i := range b.N {
 				r := goodRecord()
@@ -228,7 +228,7 @@
 				before := heapBytes()
 				var keep []*State
 				for range states {
-					keep = append(keep, full(n))
+					keep = append(keep, newPopulatedState(n))
 				}
 				b.ReportMetric(float64(heapBytes()-before)/states, "heap-B")
 				runtime.KeepAlive(keep)
@@ -245,8 +245,8 @@
 }
 
 func BenchmarkIdleTick(b *testing.B) {
-	s := full(1200)
-	now := epoch.Add(2 * tickEvery)
+	s := newPopulatedState(1200)
+	now := epoch.Add(2 * tickInterval)
 	s.nextProbe, s.nextCheck, s.nextSweep = now.Add(time.Hour), now.Add(time.Hour), now.Add(time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -255,7 +255,7 @@
 }
 
 func BenchmarkAnswerProbe(b *testing.B) {
-	s := full(1200)
+	s := newPopulatedState(1200)
 	s.SetConfigStatus(epoch, ConfigStatus{Version: 5})
 	m := &peerpb.Membership{Kind: peerpb.Kind_KIND_PROBE, From: "vm-5", Incarnation: 1, Sequence: 1, Digest: s.digest()}
 	b.ReportAllocs()
@@ -265,10 +265,10 @@
 }
 
 func BenchmarkFullState(b *testing.B) {
-	s := full(1200)
+	s := newPopulatedState(1200)
 	b.ReportAllocs()
 	for b.Loop() {
-		s.full = nil
+		s.cachedFull = nil
 		b.SetBytes(int64(len(s.fullState())))
 	}
 }
--- a/internal/membership/contacts_fuzz_test.go
+++ b/internal/membership/contacts_fuzz_test.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := alone(func(*Config) {})
+		s := newTestState(func(*Config) {})
 		var found []Contact
 		for _, row := range list {
 			found = append(found, row.Contact)
--- a/internal/membership/herd_test.go
+++ b/internal/membership/contacts_start_test.go
@@ -15,35 +15,35 @@
 // slowTable is a table of contacts that takes its time, as the platform's store does, and
 // counts its calls.
 type slowTable struct {
-	*memory
+	*memoryNetwork
 	lists, puts atomic.Int64
 }
 
 const (
-	listTakes = 4 * time.Millisecond
-	putTakes  = 6 * time.Millisecond
+	listLatency = 4 * time.Millisecond
+	putLatency  = 6 * time.Millisecond
 )
 
 func (s *slowTable) List(ctx context.Context) ([]ContactRow, error) {
 	s.lists.Add(1)
-	time.Sleep(listTakes)
-	return s.memory.List(ctx)
+	time.Sleep(listLatency)
+	return s.memoryNetwork.List(ctx)
 }
 
 func (s *slowTable) Put(ctx context.Context, c ContactRow) error {
 	s.puts.Add(1)
-	time.Sleep(putTakes)
-	return s.memory.Put(ctx, c)
+	time.Sleep(putLatency)
+	return s.memoryNetwork.Put(ctx, c)
 }
 
 // All VMs of a mesh start at one moment, with nothing but an empty table to find each other
 // by. Each looked at it at once, found nobody, wrote its own row and had to look again: three
 // calls to the platform a node, most of a day's calls where there are hundreds. Thirty nodes
 // a data centre must do with half of that, and know each other as soon.
-func TestHerdWritesFewContacts(t *testing.T) {
+func TestSimultaneousStartWritesFewContacts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 60
-		table := &slowTable{memory: &memory{peers: map[string]*Runner{}, rows: map[string]ContactRow{}}}
+		table := &slowTable{memoryNetwork: &memoryNetwork{peers: map[string]*Runner{}, rows: map[string]ContactRow{}}}
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		var views [n]CurrentView
--- a/internal/membership/converge_test.go
+++ b/internal/membership/converge_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-func TestMeshConvergesFromNothing(t *testing.T) {
+func TestEmptyMeshConverges(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 12, 36} {
 		w := newMesh(n, 5, nil)
-		took, ok := w.runUntil(3*time.Minute, w.settled)
+		took, ok := w.runUntil(3*time.Minute, w.converged)
 		if !ok {
-			t.Errorf("%d nodes: %s", n, w.unsettled())
+			t.Errorf("%d nodes: %s", n, w.divergence())
 		}
 		t.Logf("%d nodes settled in %v, %d messages, %d bytes", n, took, w.messages, w.bytes)
 	}
--- a/internal/membership/roll.go
+++ b/internal/membership/death_sample.go
@@ -6,7 +6,7 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// rollCall is a sample of the own data centre, taken before a death is declared.
+// healthSample is a sample of the own data centre, taken before a death is declared.
 //
 // It guards against a cut of the network, or the loss of most of a data centre,
 // that looks like the death of single nodes: their endpoints would be forgotten
@@ -14,66 +14,66 @@
 // suspects does not show it, as probes find the silent nodes one after the
 // other, and the first is due before the last is found. A fresh sample of the
 // nodes that nobody suspects yet does show it.
-type rollCall struct {
-	waiting  map[uint64]struct{}
-	asked    int
-	answered int
-	begun    time.Time
+type healthSample struct {
+	pending   map[uint64]struct{}
+	probed    int
+	answered  int
+	startedAt time.Time
 }
 
-// rollFresh is how long a sample counts.
-const rollFresh = 5 * time.Second
+// sampleTTL is how long a sample counts.
+const sampleTTL = 5 * time.Second
 
 // mayDeclareDead tells whether more than half of the own data centre is well. It
 // takes a sample first, so at first it says no.
 func (s *State) mayDeclareDead() bool {
-	if s.mostSuspected(s.home) {
+	if s.halfSuspected(s.home) {
 		return false
 	}
-	r := &s.roll
-	age := s.now.Sub(r.begun)
-	if r.begun.IsZero() || age > s.cfg.DeathSampleEvery || (age > rollFresh && s.mostWell()) {
-		s.startRollCall()
+	r := &s.sample
+	age := s.now.Sub(r.startedAt)
+	if r.startedAt.IsZero() || age > s.cfg.DeathSampleEvery || (age > sampleTTL && s.sampleShowsMajorityAlive()) {
+		s.startSample()
 		return false
 	}
-	return len(r.waiting) == 0 && age <= rollFresh && s.mostWell()
+	return len(r.pending) == 0 && age <= sampleTTL && s.sampleShowsMajorityAlive()
 }
 
-// mostWell judges the sample: the share that answered stands for all nodes
+// sampleShowsMajorityAlive judges the sample: the share that answered stands for all nodes
 // that are not suspected.
-func (s *State) mostWell() bool {
-	r := &s.roll
-	if r.asked == 0 {
+func (s *State) sampleShowsMajorityAlive() bool {
+	r := &s.sample
+	if r.probed == 0 {
 		return false
 	}
 	known := s.home.live + 1
 	open := known - 1 - s.home.suspects
-	well := 1 + float64(open)*float64(r.answered)/float64(r.asked)
+	well := 1 + float64(open)*float64(r.answered)/float64(r.probed)
 	return 2*well > float64(known)
 }
 
-func (s *State) startRollCall() {
+func (s *State) startSample() {
 	var list []*entry
-	for _, e := range s.order(s.home) {
+	for _, e := range s.sortedMembers(s.home) {
 		if e.suspicion == nil && e.rec.State == VMAlive {
 			list = append(list, e)
 		}
 	}
-	s.roll = rollCall{waiting: map[uint64]struct{}{}, begun: s.now}
+	s.sample = healthSample{pending: map[uint64]struct{}{}, startedAt: s.now}
 	for _, e := range shuffled(s, list, s.cfg.DeathSampleSize) {
 		m := &peerpb.Membership{Kind: peerpb.Kind_KIND_PROBE}
 		id := s.send(e, m, s.cfg.ProbeTimeout)
-		s.roll.waiting[id] = struct{}{}
-		s.roll.asked++
+		s.sample.pending[id] = struct{}{}
+		s.sample.probed++
 	}
 }
 
-func (s *State) rollAnswer(id uint64, answered bool) {
-	if _, ok := s.roll.waiting[id]; !ok {
+func (s *State) recordSampleResult(id uint64, answered bool) {
+	if _, ok := s.sample.pending[id]; !ok {
 		return
 	}
-	delete(s.roll.waiting, id)
+	delete(s.sample.pending, id)
 	if answered {
-		s.roll.answered++
+		s.sample.answered++
 	}
 }
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -9,12 +9,12 @@
 
 // entry is all that this node keeps of another one.
 type entry struct {
-	key    uint64
-	rec    Record
-	centre *centre
-	heard  time.Time // when something new was learned of it
-	ok     time.Time // last direct exchange
-	fail   time.Time // last direct failure
+	key          uint64
+	rec          Record
+	centre       *centre
+	updatedAt    time.Time // when something new was learned of it
+	lastExchange time.Time // last direct exchange
+	lastFailure  time.Time // last direct failure
 
 	dead      bool
 	tombstone stamp // what was declared dead; only a newer record revives it
@@ -23,91 +23,91 @@
 	suspicion *suspicion
 	leavingAt time.Time
 
-	hot       int    // messages that still carry the record
-	claimHot  int    // messages that still carry a claim about it
-	order     uint64 // larger for what changed later
-	pushed    stamp  // what this node has last passed on as urgent
-	source    uint64 // key of the peer that the change came from
-	different int    // exchanges with it in a row at which digests differed
+	recordSends  int    // messages that still carry the record
+	claimSends   int    // messages that still carry a claim about it
+	changeNumber uint64 // larger for what changed later
+	pushedStamp  stamp  // what this node has last passed on as urgent
+	source       uint64 // key of the peer that the change came from
+	differing    int    // exchanges with it in a row at which digests differed
 
-	held  uint64 // highest version that this incarnation was seen to hold
-	prior uint64 // highest version that any earlier one was seen to hold
+	heldVersion uint64 // highest version that this incarnation was seen to hold
+	priorHeld   uint64 // highest version that any earlier one was seen to hold
 
 	published *ObservedRecord // nil when the view has to be told anew
 }
 
 // centre is all that this node keeps of a data centre.
 type centre struct {
-	name   string
-	key    uint32
-	region string
-	hash   uint64 // of the stamps of its live records
-	idset  uint64 // of the ids and incarnations of its live records
-	live   int
-	heard  time.Time
+	name      string
+	key       uint32
+	region    string
+	hash      uint64 // of the stamps of its live records
+	idset     uint64 // of the ids and incarnations of its live records
+	live      int
+	lastHeard time.Time
 
 	suspects int // of the live ones
 
 	members []*entry // live, by key; nil when out of date
 	bridges []*entry // nil with members
 
-	starts     int // new incarnations seen in it
-	startsTold int // those at home that an exchange with it has told of
+	startsSeen     int // new incarnations seen in it
+	startsReported int // those at home that an exchange with it has told of
 
-	heldHot  int
-	nextTalk time.Time
-	failures int // exchanges with it that failed in a row
+	heldSends    int
+	nextExchange time.Time
+	failures     int // exchanges with it that failed in a row
 }
 
 func (s *State) centreOf(name, region string) *centre {
 	c := s.centres[name]
 	if c == nil {
-		c = &centre{name: name, key: shortKey(name), region: region, heard: s.now}
+		c = &centre{name: name, key: centreKeyOf(name), region: region, lastHeard: s.now}
 		s.centres[name] = c
-		s.byCentre[c.key] = c
-		s.meet(name)
+		s.centreByKey[c.key] = c
+		s.noteCentre(name)
 	}
 	return c
 }
 
-// link and unlink keep what is derived from live records: digests and rings.
-func (s *State) link(e *entry) {
+// addLive and unlink keep what is derived from live records: digests and rings.
+func (s *State) addLive(e *entry) {
 	c := s.centreOf(e.rec.VM.DataCentre, e.rec.VM.Region)
 	e.centre = c
 	c.hash ^= hashStamp(e.key, e.rec.stamp())
 	c.idset ^= hashStamp(e.key, stamp{e.rec.VM.Incarnation, 0})
 	c.live++
 	s.live++
-	s.reorder(c)
-	s.touch(e)
+	s.invalidateMembers(c)
+	s.invalidateView(e)
 }
 
-func (s *State) unlink(e *entry) {
+func (s *State) removeLive(e *entry) {
 	c := e.centre
 	c.hash ^= hashStamp(e.key, e.rec.stamp())
 	c.idset ^= hashStamp(e.key, stamp{e.rec.VM.Incarnation, 0})
 	c.live--
 	s.live--
-	s.reorder(c)
+	s.invalidateMembers(c)
 }
 
-// reorder drops what was derived from the members of a data centre.
-func (s *State) reorder(c *centre) {
+// invalidateMembers drops what was derived from the members of a data centre.
+func (s *State) invalidateMembers(c *centre) {
 	c.members, c.bridges = nil, nil
 	if c == s.home {
 		s.ringCache = nil
 	}
 }
 
-// touch marks that the view is out of date in e.
-func (s *State) touch(e *entry) {
+// invalidateView marks that the view is out of date in e.
+func (s *State) invalidateView(e *entry) {
 	e.published = nil
 	s.viewDirty = true
 }
 
 // accept takes a record from a peer. It reports whether it was news.
 func (s *State) accept(p *peerpb.Record, source uint64) bool {
-	if !s.cfg.Limits.allowed(p) {
+	if !s.cfg.Limits.validRecord(p) {
 		s.stats.Refused++
 		return false
 	}
@@ -128,25 +128,25 @@
 		s.byKey[e.key] = e
 	case e.dead:
 		if !st.newer(e.tombstone) {
-			s.answerDead(e)
+			s.queueDeadReply(e)
 			return false
 		}
 		e.dead = false
 	case !st.newer(e.rec.stamp()):
 		return false
 	default:
-		s.unlink(e)
+		s.removeLive(e)
 	}
-	s.replace(e, decodeRecord(p))
-	s.heat(e, source)
+	s.replaceRecord(e, decodeRecord(p))
+	s.queueRecord(e, source)
 	return true
 }
 
-// replace puts a newer record of a node in force.
-func (s *State) replace(e *entry, r Record) {
+// replaceRecord puts a newer record of a node in force.
+func (s *State) replaceRecord(e *entry, r Record) {
 	if r.VM.Incarnation != e.rec.VM.Incarnation {
-		e.prior = max(e.prior, e.held)
-		e.held = 0
+		e.priorHeld = max(e.priorHeld, e.heldVersion)
+		e.heldVersion = 0
 	}
 	if sp := e.suspicion; sp != nil && (r.stamp().newer(sp.about) || r.VM.DataCentre != e.rec.VM.DataCentre) {
 		s.clearSuspicion(e, r.VM.Incarnation == sp.about.incarnation)
@@ -155,51 +155,51 @@
 		e.leavingAt = s.now
 		s.clearSuspicion(e, false)
 	}
-	e.held = max(e.held, r.AppliedVersion)
+	e.heldVersion = max(e.heldVersion, r.AppliedVersion)
 	started := r.VM.Incarnation != e.rec.VM.Incarnation
 	e.rec = r
-	e.heard = s.now
-	s.link(e)
+	e.updatedAt = s.now
+	s.addLive(e)
 	if started {
-		e.centre.starts++
+		e.centre.startsSeen++
 	}
 }
 
-// heat makes a changed record ride on the next messages.
-func (s *State) heat(e *entry, source uint64) {
-	s.changes++
-	e.order = s.changes
+// queueRecord makes a changed record ride on the next messages.
+func (s *State) queueRecord(e *entry, source uint64) {
+	s.changeCount++
+	e.changeNumber = s.changeCount
 	e.source = source
-	e.hot = s.spread()
-	s.hot[e] = struct{}{}
+	e.recordSends = s.retransmitLimit()
+	s.queued[e] = struct{}{}
 }
 
-// heatClaim does the same for the claims about a node.
-func (s *State) heatClaim(e *entry) {
-	s.changes++
-	e.order = s.changes
-	e.claimHot = s.spread()
-	s.hot[e] = struct{}{}
+// queueClaim does the same for the claims about a node.
+func (s *State) queueClaim(e *entry) {
+	s.changeCount++
+	e.changeNumber = s.changeCount
+	e.claimSends = s.retransmitLimit()
+	s.queued[e] = struct{}{}
 }
 
 // declareDead takes a node for dead.
 func (s *State) declareDead(e *entry, about stamp) {
-	s.unlink(e)
+	s.removeLive(e)
 	s.clearSuspicion(e, false)
 	if e.rec.stamp().newer(about) {
 		about = e.rec.stamp()
 	}
 	e.dead, e.tombstone, e.deadAt = true, about, s.now
-	e.hot = 0
-	s.touch(e)
-	s.heatClaim(e)
+	e.recordSends = 0
+	s.invalidateView(e)
+	s.queueClaim(e)
 }
 
-// answerDead has the next message of this exchange say that e is dead, so
+// queueDeadReply has the next message of this exchange say that e is dead, so
 // that the sender drops it, or, being its owner, comes back with a new record.
-func (s *State) answerDead(e *entry) {
-	if !slices.Contains(s.tell, e) {
-		s.tell = append(s.tell, e)
+func (s *State) queueDeadReply(e *entry) {
+	if !slices.Contains(s.deadReplies, e) {
+		s.deadReplies = append(s.deadReplies, e)
 	}
 }
 
@@ -210,20 +210,20 @@
 		case e.dead && s.now.Sub(e.deadAt) > s.cfg.TombstoneRetention:
 			delete(s.entries, id)
 			delete(s.byKey, e.key)
-			delete(s.hot, e)
+			delete(s.queued, e)
 		case e.dead:
 		case e.rec.State == VMLeaving && s.now.Sub(e.leavingAt) > s.cfg.LeavingRetention:
 			s.declareDead(e, e.rec.stamp())
-			e.claimHot = 0
-		case e.centre != s.home && s.now.Sub(e.centre.heard) > s.cfg.ForgetAfter:
+			e.claimSends = 0
+		case e.centre != s.home && s.now.Sub(e.centre.lastHeard) > s.cfg.ForgetAfter:
 			s.declareDead(e, e.rec.stamp())
-			e.claimHot = 0
+			e.claimSends = 0
 		}
 	}
 	for name, c := range s.centres {
-		if c.live == 0 && c != s.home && s.now.Sub(c.heard) > s.cfg.TombstoneRetention {
+		if c.live == 0 && c != s.home && s.now.Sub(c.lastHeard) > s.cfg.TombstoneRetention {
 			delete(s.centres, name)
-			delete(s.byCentre, c.key)
+			delete(s.centreByKey, c.key)
 		}
 	}
 }
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-func (w *mesh) mustSettle(t *testing.T, limit time.Duration) time.Duration {
+func (w *mesh) mustConverge(t *testing.T, limit time.Duration) time.Duration {
 	t.Helper()
-	took, ok := w.runUntil(limit, w.settled)
+	took, ok := w.runUntil(limit, w.converged)
 	if !ok {
-		t.Fatalf("not settled: %s", w.unsettled())
+		t.Fatalf("not settled: %s", w.divergence())
 	}
 	return took
 }
@@ -28,7 +28,7 @@
 // user would see it turn away from all its peers at once. It must suspect none
 // of them, and the others, who declared it dead meanwhile, must see it again.
 func TestPausedProcess(t *testing.T) {
-	w := warm(30, nil)
+	w := newConvergedMesh(30, nil)
 	v := w.nodes[7]
 	v.paused = true
 	w.run(2 * time.Minute)
@@ -41,7 +41,7 @@
 	if n := suspected(v.View(w.now)); n > 0 {
 		t.Errorf("it suspects %d nodes after the pause", n)
 	}
-	w.mustSettle(t, time.Minute)
+	w.mustConverge(t, time.Minute)
 	st := v.Stats()
 	if st.Pauses != 1 || st.Suspicions != before || st.Refutations == 0 {
 		t.Errorf("pauses %d, suspicions %d, refutations %d", st.Pauses, st.Suspicions-before, st.Refutations)
@@ -54,11 +54,11 @@
 // forgotten and have to be learned anew after the cut. Both must keep the last
 // endpoints as suspects and say since when.
 func TestCutOffDataCentreKeepsEndpoints(t *testing.T) {
-	w := warm(25, nil)
+	w := newConvergedMesh(25, nil)
 	w.delayMax = 400 * time.Millisecond
 	cut := w.nodes[0].info.DataCentre
 	begin := w.now
-	w.parted = func(a, b *vm) bool { return (a.info.DataCentre == cut) != (b.info.DataCentre == cut) }
+	w.partitioned = func(a, b *vm) bool { return (a.info.DataCentre == cut) != (b.info.DataCentre == cut) }
 	w.run(5 * time.Minute)
 	for _, v := range w.nodes {
 		view := v.View(w.now)
@@ -84,8 +84,8 @@
 			}
 		}
 	}
-	w.parted = nil
-	w.mustSettle(t, 2*time.Minute)
+	w.partitioned = nil
+	w.mustConverge(t, 2*time.Minute)
 	if n := w.total(func(s Stats) uint64 { return s.Deaths }); n > 0 {
 		t.Errorf("%d deaths", n)
 	}
@@ -94,9 +94,9 @@
 // One node loses its network. From inside it looks as if every other node had
 // died. It must keep them all as suspects, while the others declare it dead.
 func TestCutOffNode(t *testing.T) {
-	w := warm(25, nil)
+	w := newConvergedMesh(25, nil)
 	lone := w.nodes[11]
-	w.parted = func(a, b *vm) bool { return a == lone || b == lone }
+	w.partitioned = func(a, b *vm) bool { return a == lone || b == lone }
 	w.run(5 * time.Minute)
 	view := lone.View(w.now)
 	if len(view.Records) != len(w.nodes) || suspected(view) != len(w.nodes)-1 || len(view.CutOff) != 5 {
@@ -106,19 +106,19 @@
 	if _, known := w.nodes[0].View(w.now).Records[lone.info.ID]; known {
 		t.Error("the others did not declare it dead")
 	}
-	w.parted = nil
-	w.mustSettle(t, time.Minute)
+	w.partitioned = nil
+	w.mustConverge(t, time.Minute)
 }
 
 // A rack with 3 of a data centre's 10 nodes burns down. Unlike in a cut, most
 // of the data centre is well, so the dead have to go and not stay as suspects
 // for a day.
-func TestRackLost(t *testing.T) {
-	w := warm(50, nil)
+func TestRackFailureIsDeclaredDead(t *testing.T) {
+	w := newConvergedMesh(50, nil)
 	for i := 0; i < 15; i += 5 {
 		w.stop(w.nodes[i])
 	}
-	took := w.mustSettle(t, 2*time.Minute)
+	took := w.mustConverge(t, 2*time.Minute)
 	t.Logf("declared dead everywhere after %v", took)
 }
 
@@ -126,8 +126,8 @@
 // later with empty memory. The rest must keep their records, since it looks
 // like a cut, and must not be swamped by full states: joins are bounded, the
 // refused come back after a random wait or are referred to others.
-func TestStorm(t *testing.T) {
-	w := warm(60, nil)
+func TestMassRestartKeepsRecords(t *testing.T) {
+	w := newConvergedMesh(60, nil)
 	var gone []*vm
 	for i := 0; len(gone) < 9; i += 5 {
 		gone = append(gone, w.nodes[i])
@@ -153,7 +153,7 @@
 	if !ok {
 		t.Fatal("not all joined")
 	}
-	took := w.mustSettle(t, 2*time.Minute)
+	took := w.mustConverge(t, 2*time.Minute)
 	refused := w.total(func(s Stats) uint64 { return s.JoinsRefused })
 	t.Logf("joined after %v, settled after %v more, %d joins refused", joined, took, refused)
 	for _, v := range gone {
@@ -168,7 +168,7 @@
 // old record would live on and callers would go on asking the address for
 // services that it no longer holds.
 func TestReplacedUnderTheSameAddress(t *testing.T) {
-	w := warm(30, nil)
+	w := newConvergedMesh(30, nil)
 	old := w.nodes[4]
 	w.stop(old)
 	fresh := w.add("vm-new", old.info.DataCentre, old.info.Region)
@@ -177,7 +177,7 @@
 	w.byAddr[old.info.ControlAddr] = fresh
 	w.start(fresh)
 	w.nodes = append(w.nodes[:4], w.nodes[5:]...)
-	w.mustSettle(t, 2*time.Minute)
+	w.mustConverge(t, 2*time.Minute)
 }
 
 // A VM is taken for dead and replaced under its ID, but its process still
@@ -185,7 +185,7 @@
 // take turns in every view. The later start must win, the former must say that
 // it was superseded, and the record must come to rest.
 func TestTwoProcessesUnderOneID(t *testing.T) {
-	w := warm(30, nil)
+	w := newConvergedMesh(30, nil)
 	w.run(2 * time.Minute)
 	old := w.nodes[4]
 	fresh := w.add(old.info.ID, old.info.DataCentre, old.info.Region)
@@ -213,12 +213,12 @@
 // start, is below the one that its peers remember, so they would ignore all
 // that it says and show its old backend servers.
 func TestRestartWithASlowClock(t *testing.T) {
-	w := warm(30, func(c *Config) { c.Self.Incarnation = uint64(epoch.UnixMilli()) })
+	w := newConvergedMesh(30, func(c *Config) { c.Self.Incarnation = uint64(epoch.UnixMilli()) })
 	v := w.nodes[4]
 	before := v.self.stamp()
 	w.configure = func(c *Config) { c.Self.Incarnation = uint64(epoch.Add(-time.Hour).UnixMilli()) }
 	w.start(v)
-	w.mustSettle(t, time.Minute)
+	w.mustConverge(t, time.Minute)
 	if !v.self.stamp().newer(before) {
 		t.Errorf("it is at %v, below %v", v.self.stamp(), before)
 	}
@@ -228,8 +228,8 @@
 // one's was an hour fast. Its peers no longer show its record but remember the
 // burial, which is above all that the new process says. A user would see its
 // backend servers get no calls for as long as tombstones are kept.
-func TestBuriedThenRestartedWithASlowClock(t *testing.T) {
-	w := warm(30, func(c *Config) { c.Self.Incarnation = uint64(epoch.UnixMilli()) })
+func TestDeadThenRestartedWithASlowClock(t *testing.T) {
+	w := newConvergedMesh(30, func(c *Config) { c.Self.Incarnation = uint64(epoch.UnixMilli()) })
 	v := w.nodes[4]
 	before := v.self.stamp()
 	w.stop(v)
@@ -239,7 +239,7 @@
 	}
 	w.configure = func(c *Config) { c.Self.Incarnation = uint64(epoch.Add(-time.Hour).UnixMilli()) }
 	w.start(v)
-	w.mustSettle(t, time.Minute)
+	w.mustConverge(t, time.Minute)
 	if !v.self.stamp().newer(before) {
 		t.Errorf("it is at %v, below %v", v.self.stamp(), before)
 	}
@@ -249,11 +249,11 @@
 // with clocks an hour behind those of before. Nobody there remembers them; three
 // minutes later the cut ends, and the others tell each its former record. Each
 // would take that for a later process under its ID and take no more calls.
-func TestHerdWithSlowClocksComesBackFromACut(t *testing.T) {
-	w := warm(30, func(c *Config) { c.Self.Incarnation = uint64(epoch.Add(time.Hour).UnixMilli()) })
+func TestRestartWithSlowClocksWhileCutOff(t *testing.T) {
+	w := newConvergedMesh(30, func(c *Config) { c.Self.Incarnation = uint64(epoch.Add(time.Hour).UnixMilli()) })
 	w.configure = nil
 	cut := w.nodes[0].info.DataCentre
-	w.parted = func(a, b *vm) bool { return (a.info.DataCentre == cut) != (b.info.DataCentre == cut) }
+	w.partitioned = func(a, b *vm) bool { return (a.info.DataCentre == cut) != (b.info.DataCentre == cut) }
 	var herd []*vm
 	for _, v := range w.nodes {
 		if v.info.DataCentre == cut {
@@ -266,8 +266,8 @@
 		w.start(v)
 	}
 	w.run(3 * time.Minute)
-	w.parted = nil
-	w.mustSettle(t, 2*time.Minute)
+	w.partitioned = nil
+	w.mustConverge(t, 2*time.Minute)
 	for _, v := range herd {
 		if _, yes := v.Superseded(); yes {
 			t.Errorf("%s gave way to its own past", v.info.ID)
@@ -279,10 +279,10 @@
 // the old record. The record must not bring the node back, and while it drains
 // nobody may suspect it.
 func TestLeftNodeStaysGone(t *testing.T) {
-	w := warm(20, func(c *Config) { c.TombstoneRetention = 5 * time.Minute })
+	w := newConvergedMesh(20, func(c *Config) { c.TombstoneRetention = 5 * time.Minute })
 	v := w.nodes[3]
 	cut := w.nodes[0].info.DataCentre
-	w.parted = func(a, b *vm) bool { return (a.info.DataCentre == cut) != (b.info.DataCentre == cut) }
+	w.partitioned = func(a, b *vm) bool { return (a.info.DataCentre == cut) != (b.info.DataCentre == cut) }
 	v.Leave(w.now)
 	w.drive(v)
 	took, ok := w.runUntil(10*time.Second, func() bool {
@@ -300,10 +300,10 @@
 	w.run(5 * time.Second)
 	w.stop(v)
 	w.run(3 * time.Minute)
-	w.parted = nil
-	w.mustSettle(t, 3*time.Minute)
+	w.partitioned = nil
+	w.mustConverge(t, 3*time.Minute)
 	w.run(v.cfg.TombstoneRetention + time.Minute)
-	if s := w.unsettled(); s != "" {
+	if s := w.divergence(); s != "" {
 		t.Error(s)
 	}
 }
@@ -311,11 +311,11 @@
 // A data centre is cut off, and the others pass the word of it round among
 // themselves. If each hop made it a little younger, it would never grow old
 // and nobody would notice the cut.
-func TestAgesAreToldOlder(t *testing.T) {
+func TestEncodedAgesAreNeverTooLow(t *testing.T) {
 	for _, age := range []time.Duration{0, 40 * time.Millisecond, 99 * time.Millisecond, time.Second, time.Hour} {
-		told := parseDigest(appendDigest(nil, centreDigest{age: age}))[0].age
-		if told <= age+300*time.Millisecond {
-			t.Errorf("%v is told as %v", age, told)
+		decoded := parseDigest(appendDigest(nil, centreDigest{age: age}))[0].age
+		if decoded <= age+300*time.Millisecond {
+			t.Errorf("%v is told as %v", age, decoded)
 		}
 	}
 }
--- a/internal/membership/held.go
+++ b/internal/membership/held.go
@@ -12,60 +12,60 @@
 // one holds at least the version that I hold". Bits are only ever added, so
 // messages may be lost, doubled and reordered.
 
-// backgroundHeld is how often, in messages, the bits of a data centre are told
+// heldRefreshEvery is how often, in messages, the bits of a data centre are told
 // although nothing changed, in case the last change was lost.
-const backgroundHeld = 16
+const heldRefreshEvery = 16
 
 // noteHeld notes that this incarnation of e holds version v.
 func (s *State) noteHeld(e *entry, v uint64) {
-	if v <= e.held {
+	if v <= e.heldVersion {
 		return
 	}
-	e.held = v
+	e.heldVersion = v
 	e.published = nil
 	s.heldDirty = true
-	e.centre.heldHot = s.spread()
+	e.centre.heldSends = s.retransmitLimit()
 }
 
-// heatHeld has the next messages tell who holds the version now in force here.
-func (s *State) heatHeld() {
+// queueHeld has the next messages tell who holds the version now in force here.
+func (s *State) queueHeld() {
 	for _, c := range s.centres {
-		c.heldHot = s.spread()
+		c.heldSends = s.retransmitLimit()
 	}
 }
 
-// heldBy is the highest version that a node was seen to hold, in this or an
+// lastHeldVersion is the highest version that a node was seen to hold, in this or an
 // earlier life.
-func (s *State) heldBy(id string) uint64 {
+func (s *State) lastHeldVersion(id string) uint64 {
 	e := s.entries[id]
 	if e == nil {
 		return 0
 	}
-	return max(e.held, e.prior, e.rec.AppliedVersion)
+	return max(e.heldVersion, e.priorHeld, e.rec.AppliedVersion)
 }
 
-func (s *State) fillHeld(m *peerpb.Membership) {
+func (s *State) piggybackHeld(m *peerpb.Membership) {
 	if s.self.AppliedVersion == 0 {
 		return
 	}
-	s.exchanges++
+	s.heldMessages++
 	list := s.sortedCentres()
 	background := -1
-	if s.exchanges%backgroundHeld == 0 {
-		background = int(s.exchanges/backgroundHeld) % len(list)
+	if s.heldMessages%heldRefreshEvery == 0 {
+		background = int(s.heldMessages/heldRefreshEvery) % len(list)
 	}
 	for i, c := range list {
-		if c.heldHot > 0 || i == background {
-			c.heldHot = max(0, c.heldHot-1)
+		if c.heldSends > 0 || i == background {
+			c.heldSends = max(0, c.heldSends-1)
 			m.Held = append(m.Held, s.encodeHeld(c))
 		}
 	}
 }
 
-// ordered calls f with every live node of c in the order of the keys; nil
+// forEachMember calls f with every live node of c in the order of the keys; nil
 // stands for this node.
-func (s *State) ordered(c *centre, f func(i int, e *entry)) int {
-	members := s.order(c)
+func (s *State) forEachMember(c *centre, f func(i int, e *entry)) int {
+	members := s.sortedMembers(c)
 	at := -1
 	if c == s.home {
 		at = sort.Search(len(members), func(i int) bool { return members[i].key > s.key })
@@ -90,8 +90,8 @@
 	h := &peerpb.Held{DataCentre: c.key, Version: s.self.AppliedVersion, Idset: c.idset}
 	bits := make([]byte, (c.live+8)/8)
 	set := 0
-	n := s.ordered(c, func(i int, e *entry) {
-		if e == nil || e.held >= h.Version {
+	n := s.forEachMember(c, func(i int, e *entry) {
+		if e == nil || e.heldVersion >= h.Version {
 			bits[i/8] |= 1 << (i % 8)
 			set++
 		}
@@ -104,14 +104,14 @@
 	return h
 }
 
-func (s *State) takeHeld(list []*peerpb.Held) {
+func (s *State) mergeHeld(list []*peerpb.Held) {
 	for _, h := range list {
-		c := s.byCentre[h.GetDataCentre()]
+		c := s.centreByKey[h.GetDataCentre()]
 		if c == nil || c.idset != h.GetIdset() {
 			continue // the bits stand for other nodes than the ones known here
 		}
 		bits := h.GetBits()
-		s.ordered(c, func(i int, e *entry) {
+		s.forEachMember(c, func(i int, e *entry) {
 			if e != nil && (h.GetAll() || (i/8 < len(bits) && bits[i/8]&(1<<(i%8)) != 0)) {
 				s.noteHeld(e, h.GetVersion())
 			}
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -20,23 +20,23 @@
 
 // joinState is what a State keeps to join and to let others in.
 type joinState struct {
-	joined   bool
-	started  time.Time
-	contacts []Contact
-	nextJoin time.Time
-	attempts int
-	asked    map[string]int // how often each address was asked before it joined
+	joined      bool
+	started     time.Time
+	contacts    []Contact
+	nextJoin    time.Time
+	attempts    int
+	triesByAddr map[string]int // how often each address was asked before it joined
 
-	tokens   float64
-	tokensAt time.Time
-	full     []byte
-	fullAt   time.Time
+	tokens       float64
+	tokensAt     time.Time
+	cachedFull   []byte
+	cachedFullAt time.Time
 }
 
-// fullFresh is how long a compressed full state is served again: joins come in
+// fullStateTTL is how long a compressed full state is served again: joins come in
 // herds. One as old as a second lacks most of a herd that starts together; 13 nodes
 // knew each other after 2.4 s with that, and after 0.95 s with 100 ms.
-const fullFresh = 100 * time.Millisecond
+const fullStateTTL = 100 * time.Millisecond
 
 const maxReferrals = 5
 
@@ -61,7 +61,7 @@
 
 func (s *State) startJoining() {
 	s.started = s.now
-	s.asked = map[string]int{}
+	s.triesByAddr = map[string]int{}
 	s.tokens, s.tokensAt = s.cfg.JoinBurst, s.now
 	for _, addr := range s.cfg.Seeds {
 		s.addContact(Contact{ControlAddr: addr})
@@ -84,7 +84,7 @@
 
 func (s *State) addContact(c Contact) {
 	bad := c.ControlAddr == "" || c.ControlAddr == s.self.VM.ControlAddr
-	if bad || !s.cfg.Limits.short(c.ID, c.DataCentre, c.ControlAddr) {
+	if bad || !s.cfg.Limits.shortEnough(c.ID, c.DataCentre, c.ControlAddr) {
 		return
 	}
 	same := func(o Contact) bool { return o.ControlAddr == c.ControlAddr }
@@ -120,14 +120,14 @@
 // parted region would.
 func (s *State) ShouldReadContacts() bool {
 	_, home := s.cutOff[s.home.name]
-	return !s.joined || s.live == 0 || home || (len(s.cutOff) > 0 && s.amBridge())
+	return !s.joined || s.live == 0 || home || (len(s.cutOff) > 0 && s.isBridge())
 }
 
 // tickJoin asks for a full state until there is one, again whenever no neighbour
 // is left to talk to, and when a contact turns up that this node does not know.
 func (s *State) tickJoin() {
 	if !s.joined && s.now.Sub(s.started) > s.cfg.AloneAfter {
-		s.becomeJoined()
+		s.markJoined()
 	}
 	if s.now.Before(s.nextJoin) {
 		return
@@ -139,7 +139,7 @@
 	}
 	s.attempts++
 	if !s.joined {
-		s.asked[c.ControlAddr]++
+		s.triesByAddr[c.ControlAddr]++
 	}
 	s.stats.JoinAttempts++
 	m := &peerpb.Membership{Kind: peerpb.Kind_KIND_JOIN}
@@ -155,14 +155,14 @@
 	_, cut := s.cutOff[s.home.name]
 	switch {
 	case s.joined && s.live > 0 && !cut:
-		list = s.strangers()
+		list = s.unknownContacts()
 	case s.attempts%2 == 1:
 		if c, ok := s.contactIn(s.home); ok {
 			return c, true
 		}
 	}
 	if !s.joined {
-		list = s.leastAsked(list)
+		list = s.leastTried(list)
 	}
 	if len(list) == 0 {
 		return Contact{}, false
@@ -170,14 +170,14 @@
 	return list[s.rnd.IntN(len(list))], true
 }
 
-// leastAsked returns the contacts that were asked least often. Drawn from all, a
+// leastTried returns the contacts that were asked least often. Drawn from all, a
 // contact that is down may be drawn until the node takes itself to be the first of
 // the mesh; with an empty platform it would then serve by version 0.
-func (s *State) leastAsked(list []Contact) []Contact {
+func (s *State) leastTried(list []Contact) []Contact {
 	var out []Contact
 	least := 0
 	for _, c := range list {
-		n := s.asked[c.ControlAddr]
+		n := s.triesByAddr[c.ControlAddr]
 		if len(out) == 0 || n < least {
 			out, least = out[:0], n
 		}
@@ -188,14 +188,14 @@
 	return out
 }
 
-// strangers returns the contacts at addresses that belong to no known node, and
+// unknownContacts returns the contacts at addresses that belong to no known node, and
 // where nodes were that left or died.
 //
 // A node that starts again while the platform is down has nobody to ask. It comes
 // back at its address, where those that remember it find it; left to itself it
 // would know no endpoint, and refuse every call until the platform is back.
-func (s *State) strangers() []Contact {
-	if !s.amBridge() {
+func (s *State) unknownContacts() []Contact {
+	if !s.isBridge() {
 		return nil
 	}
 	list := slices.Clone(s.contacts)
@@ -227,7 +227,7 @@
 // answerJoin serves the full state to a few joins a second and refers the rest
 // to others.
 func (s *State) answerJoin(m, ans *peerpb.Membership) {
-	ans.Recalled = s.heldBy(m.GetFrom())
+	ans.Recalled = s.lastHeldVersion(m.GetFrom())
 	s.tokens = min(s.cfg.JoinBurst, s.tokens+s.now.Sub(s.tokensAt).Seconds()*s.cfg.JoinsPerSecond)
 	s.tokensAt = s.now
 	if s.tokens < 1 {
@@ -253,12 +253,12 @@
 }
 
 func (s *State) fullState() []byte {
-	if s.full != nil && s.now.Sub(s.fullAt) < fullFresh {
-		return s.full
+	if s.cachedFull != nil && s.now.Sub(s.cachedFullAt) < fullStateTTL {
+		return s.cachedFull
 	}
 	list := &peerpb.RecordList{Records: []*peerpb.Record{encodeRecord(&s.self)}}
 	for _, c := range s.sortedCentres() {
-		for _, e := range s.order(c) {
+		for _, e := range s.sortedMembers(c) {
 			list.Records = append(list.Records, encodeRecord(&e.rec))
 		}
 	}
@@ -271,8 +271,8 @@
 	if err != nil {
 		return nil
 	}
-	s.full, s.fullAt = packed, s.now
-	return s.full
+	s.cachedFull, s.cachedFullAt = packed, s.now
+	return s.cachedFull
 }
 
 func (s *State) joinAnswered(m *peerpb.Membership) {
@@ -286,22 +286,22 @@
 		}
 		return
 	}
-	if !s.takeFull(m.GetFull(), keyOf(m.GetFrom())) {
+	if !s.mergeFullState(m.GetFull(), keyOf(m.GetFrom())) {
 		s.stats.Refused++
 		return
 	}
-	s.takeHeld(m.GetHeld())
+	s.mergeHeld(m.GetHeld())
 	s.recall.Version = max(s.recall.Version, m.GetRecalled())
 	// Two nodes that both just started know nothing that makes either joined.
 	if !m.GetJoining() && !s.joined {
-		s.becomeJoined()
+		s.markJoined()
 	}
 }
 
-// takeFull takes a full state. To a node that joins, its records are old news to
+// mergeFullState takes a full state. To a node that joins, its records are old news to
 // everybody else and do not ride on its messages. To one that has joined
 // before, they come from a mesh that was apart.
-func (s *State) takeFull(full []byte, source uint64) bool {
+func (s *State) mergeFullState(full []byte, source uint64) bool {
 	raw, err := decompress(full, s.cfg.Limits.FullStateBytes)
 	if err != nil {
 		return false
@@ -313,18 +313,18 @@
 	for _, p := range list.GetRecords() {
 		if s.accept(p, source) && !s.joined {
 			e := s.entries[p.GetId()]
-			e.hot = 0
-			delete(s.hot, e)
+			e.recordSends = 0
+			delete(s.queued, e)
 		}
 	}
 	return true
 }
 
-func (s *State) becomeJoined() {
+func (s *State) markJoined() {
 	s.joined = true
 	s.own.joinedAt = s.now
 	s.attempts = 0
-	s.heatOwn(true)
-	s.settled = s.now.Add(s.cfg.SuspicionGrace)
+	s.queueOwn(true)
+	s.graceUntil = s.now.Add(s.cfg.SuspicionGrace)
 	s.startRecall()
 }
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -11,7 +11,7 @@
 // What an operator would see: a node is restarted while the platform is empty, and
 // serves by version 0 although its peers hold version 8. One of its seeds was down,
 // and it happened to ask that one each time, until it took itself to be the first.
-func TestEverySeedIsAskedBeforeANodeIsAlone(t *testing.T) {
+func TestEverySeedIsTriedBeforeBootstrap(t *testing.T) {
 	seeds := []string{"10.0.0.7:7000", "10.0.0.8:7000"}
 	cfg := DefaultConfig(VM{ID: "vm-0", DataCentre: "dc-0", ControlAddr: "10.0.0.1:7000"})
 	cfg.Seeds = seeds
@@ -19,7 +19,7 @@
 		s := New(cfg, epoch, rand.New(rand.NewPCG(1, draw)))
 		s.AddContacts(epoch, []Contact{{ID: "vm-7", DataCentre: "dc-0", ControlAddr: seeds[0]}})
 		asked := map[string]int{}
-		for now := epoch; !s.Joined(); now = now.Add(tickEvery) {
+		for now := epoch; !s.Joined(); now = now.Add(tickInterval) {
 			for _, out := range s.Tick(now) {
 				if out.Kind == peerpb.Kind_KIND_JOIN {
 					asked[out.Addr]++
@@ -38,7 +38,7 @@
 // its address with nobody to ask: no seeds, and no rows of contacts. It knew no
 // endpoint and refused every call until the platform was back. Those that
 // remember its address have to find it.
-func TestRestartedNodeIsFoundByTheOthers(t *testing.T) {
+func TestRestartedNodeIsRediscovered(t *testing.T) {
 	for _, how := range []string{"leaves", "crashes"} {
 		alone := false
 		w := newMesh(8, 2, func(c *Config) {
@@ -57,8 +57,8 @@
 		w.run(time.Second)
 		alone = true
 		w.start(v)
-		if took, ok := w.runUntil(10*time.Second, w.settled); !ok {
-			t.Errorf("a node that %s is not found within %v: %s", how, took, w.unsettled())
+		if took, ok := w.runUntil(10*time.Second, w.converged); !ok {
+			t.Errorf("a node that %s is not found within %v: %s", how, took, w.divergence())
 		}
 	}
 }
@@ -67,7 +67,7 @@
 // in with a full state that had been packed up to a second before, when hardly anybody
 // was back, and knew the others a second later: meanwhile the work that it took was
 // lost, since it knew no endpoint of the services that the work called.
-func TestHerdThatStartsTogetherKnowsItselfAtOnce(t *testing.T) {
+func TestMassRestartConvergesQuickly(t *testing.T) {
 	var sum time.Duration
 	const herds = 10
 	for n := range herds {
@@ -81,9 +81,9 @@
 			w.after(time.Duration(w.rnd.Int64N(int64(300*time.Millisecond))), func() { w.start(v) })
 		}
 		w.run(300 * time.Millisecond)
-		took, ok := w.runUntil(10*time.Second, w.settled)
+		took, ok := w.runUntil(10*time.Second, w.converged)
 		if !ok {
-			t.Fatal(w.unsettled())
+			t.Fatal(w.divergence())
 		}
 		sum += took
 	}
--- a/internal/membership/measure_faults_test.go
+++ b/internal/membership/measure_faults_test.go
@@ -23,23 +23,23 @@
 		}
 		measureDeath(n)
 		measureRelays(n)
-		measureStorm(n)
+		measureMassRestart(n)
 		measurePush(n)
 	}
 }
 
 // measureDeath stops one node.
 func measureDeath(n int) {
-	w := warm(n, nil)
+	w := newConvergedMesh(n, nil)
 	gone := w.nodes[n/2]
 	w.stop(gone)
 	suspects := func(v *vm) bool {
 		r := v.View(w.now).Records[gone.info.ID]
 		return v == gone || r == nil || r.State == VMSuspect
 	}
-	first := w.reaches(2/float64(n), suspects)
-	all := w.reaches(1, suspects)
-	heldDead := w.reaches(1, func(v *vm) bool { return v == gone || v.View(w.now).Records[gone.info.ID] == nil })
+	first := w.timeToReach(2/float64(n), suspects)
+	all := w.timeToReach(1, suspects)
+	heldDead := w.timeToReach(1, func(v *vm) bool { return v == gone || v.View(w.now).Records[gone.info.ID] == nil })
 	fmt.Printf("n=%d one node dies: first suspicion after %v, all suspect after %v, all hold it dead after %v\n",
 		n, first, first+all, first+all+heldDead)
 }
@@ -47,7 +47,7 @@
 // measureRelays compares false suspicions with and without indirect probes.
 func measureRelays(n int) {
 	for _, relays := range []int{3, 0} {
-		w := warm(n, func(c *Config) { c.Relays = relays })
+		w := newConvergedMesh(n, func(c *Config) { c.Relays = relays })
 		w.loss = 0.05
 		w.run(lossMinutes * time.Minute)
 		_, falses, deaths := suspicions(w)
@@ -55,9 +55,9 @@
 	}
 }
 
-// measureStorm stops three quarters of a data centre for a minute.
-func measureStorm(n int) {
-	w := warm(n, nil)
+// measureMassRestart stops three quarters of a data centre for a minute.
+func measureMassRestart(n int) {
+	w := newConvergedMesh(n, nil)
 	var gone []*vm
 	for i := 0; 4*len(gone) < 3*n/5; i += 5 {
 		gone = append(gone, w.nodes[i])
@@ -71,7 +71,7 @@
 	begin := w.now
 	var settled time.Duration
 	before := map[*vm]uint64{}
-	for settled = 0; settled < 2*time.Minute && (joined < 0 || !w.settled()); settled = w.now.Sub(begin) {
+	for settled = 0; settled < 2*time.Minute && (joined < 0 || !w.converged()); settled = w.now.Sub(begin) {
 		for _, v := range w.nodes {
 			_, before[v] = traffic(v)
 		}
@@ -108,16 +108,16 @@
 // for the next messages and when it is pushed.
 func measurePush(n int) {
 	for _, push := range []bool{false, true} {
-		w := warm(n, func(c *Config) { c.PushAllChanges = push })
-		idle, _, _ := cost(w, 2*time.Minute)
+		w := newConvergedMesh(n, func(c *Config) { c.PushAllChanges = push })
+		idle, _, _ := measureTraffic(w, 2*time.Minute)
 		v := w.nodes[n/2]
 		backend := v.self.Backends[0]
 		backend.Slots++
 		before := sumBytes(w)
 		_ = v.SetBackends(w.now, []Backend{backend})
 		has := func(o *vm) bool { return o == v || o.entries[v.info.ID].rec.Sequence == v.self.Sequence }
-		half := w.reaches(0.5, has)
-		all := half + w.reaches(1, has)
+		half := w.timeToReach(0.5, has)
+		all := half + w.timeToReach(1, has)
 		w.run(2*time.Minute - all)
 		fmt.Printf("n=%d a change, pushed %v: half after %v, all after %v, %.0f bytes a node\n",
 			n, push, half, all, float64(sumBytes(w)-before)/float64(n)-idle*120)
--- a/internal/membership/measure_test.go
+++ b/internal/membership/measure_test.go
@@ -26,8 +26,8 @@
 	return messages, bytes
 }
 
-// warm makes a mesh that has settled: every node starts with a full state.
-func warm(n int, configure func(*Config)) *mesh {
+// newConvergedMesh makes a mesh that has settled: every node starts with a full state.
+func newConvergedMesh(n int, configure func(*Config)) *mesh {
 	w := newMesh(n, 5, configure)
 	for _, v := range w.nodes {
 		_ = v.SetBackends(w.now, []Backend{{Service: fmt.Sprintf("service-%d", v.index%61), Instance: "i-1", Slots: 8, State: BackendReady, ReadySince: epoch.UnixMilli() + int64(v.index*7919)}})
@@ -37,24 +37,24 @@
 		for _, o := range w.nodes {
 			if v != o {
 				v.accept(encodeRecord(&o.self), 0)
-				v.entries[o.info.ID].held = 1000
+				v.entries[o.info.ID].heldVersion = 1000
 			}
 		}
-		clear(v.hot)
-		v.becomeJoined()
+		clear(v.queued)
+		v.markJoined()
 	}
 	w.run(time.Minute)
 	return w
 }
 
-// measures is what one size of the mesh costs.
-type measures struct {
+// measurements is what one size of the mesh costs.
+type measurements struct {
 	n                          int
 	idleMean, idleMax          float64 // bytes a second a node, in and out
 	requests                   float64 // messages a second a node
 	peers                      float64 // distinct peers a node exchanged with
 	baseHeartbeat, baseFull    float64
-	age                        time.Duration // since the last word of a data centre, at worst
+	maxAge                     time.Duration // since the last word of a data centre, at worst
 	change, urgent, applied    time.Duration // to reach all
 	urgent99                   time.Duration // to reach 99%
 	appliedBytes               float64       // a node, for one version
@@ -63,7 +63,7 @@
 
 const lossMinutes = 10
 
-func cost(w *mesh, d time.Duration) (mean, worst, messages float64) {
+func measureTraffic(w *mesh, d time.Duration) (mean, worst, messages float64) {
 	before := map[*vm][2]uint64{}
 	for _, v := range w.nodes {
 		m, b := traffic(v)
@@ -80,8 +80,8 @@
 	return mean, worst, messages
 }
 
-// reaches runs until the share of nodes for which f holds is reached.
-func (w *mesh) reaches(share float64, f func(v *vm) bool) time.Duration {
+// timeToReach runs until the share of nodes for which f holds is reached.
+func (w *mesh) timeToReach(share float64, f func(v *vm) bool) time.Duration {
 	took, ok := w.runUntil(3*time.Minute, func() bool {
 		n := 0
 		for _, v := range w.nodes {
@@ -97,9 +97,9 @@
 	return took
 }
 
-func measure(n int) measures {
-	m := measures{n: n}
-	w := warm(n, nil)
+func measure(n int) measurements {
+	m := measurements{n: n}
+	w := newConvergedMesh(n, nil)
 	peers := map[[2]string]struct{}{}
 	for _, v := range w.nodes {
 		for _, e := range v.peers() {
@@ -107,7 +107,7 @@
 		}
 	}
 	m.peers = float64(len(peers)) / float64(n)
-	m.idleMean, m.idleMax, m.requests = cost(w, 2*time.Minute)
+	m.idleMean, m.idleMax, m.requests = measureTraffic(w, 2*time.Minute)
 	m.baseHeartbeat, m.baseFull = baselines(w)
 
 	first := w.nodes[n/2]
@@ -118,21 +118,21 @@
 	backend := first.self.Backends[0]
 	backend.Slots++
 	_ = first.SetBackends(w.now, []Backend{backend})
-	m.change = w.reaches(1, has)
+	m.change = w.timeToReach(1, has)
 	w.run(time.Minute)
 	backend.State = BackendDraining
 	_ = first.SetBackends(w.now, []Backend{backend})
-	m.urgent99 = w.reaches(0.99, has)
-	m.urgent = m.urgent99 + w.reaches(1, has)
+	m.urgent99 = w.timeToReach(0.99, has)
+	m.urgent = m.urgent99 + w.timeToReach(1, has)
 	w.run(time.Minute)
 
-	idle, _, _ := cost(w, time.Minute)
+	idle, _, _ := measureTraffic(w, time.Minute)
 	for _, v := range w.nodes {
 		v.SetConfigStatus(w.now, ConfigStatus{Version: 1001})
 	}
 	begin := w.now
 	before := sumBytes(w)
-	m.applied = w.reaches(1, func(v *vm) bool { return v.allHold(1001) })
+	m.applied = w.timeToReach(1, func(v *vm) bool { return v.allHold(1001) })
 	w.run(2*time.Minute - w.now.Sub(begin))
 	m.appliedBytes = float64(sumBytes(w)-before)/float64(n) - idle*120
 
@@ -142,18 +142,18 @@
 	s1, f1, b1 := suspicions(w)
 	for range 60 {
 		w.run(time.Second)
-		m.age = max(m.age, w.oldest())
+		m.maxAge = max(m.maxAge, w.maxCentreAge())
 	}
 	m.suspicions, m.falses, m.deaths = s1-s0, f1-f0, b1-b0
 	return m
 }
 
-// oldest is the longest time since any node last had word of a data centre.
-func (w *mesh) oldest() (age time.Duration) {
+// maxCentreAge is the longest time since any node last had word of a data centre.
+func (w *mesh) maxCentreAge() (age time.Duration) {
 	for _, v := range w.nodes {
 		for _, c := range v.centres {
 			if c != v.home {
-				age = max(age, w.now.Sub(c.heard))
+				age = max(age, w.now.Sub(c.lastHeard))
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 
 func (s *State) allHold(version uint64) bool {
 	for _, e := range s.entries {
-		if !e.dead && e.held < version {
+		if !e.dead && e.heldVersion < version {
 			return false
 		}
 	}
@@ -216,6 +216,6 @@
 		fmt.Printf("n=%d peers=%.1f idle_B/s mean=%.0f max=%.0f messages/s=%.2f | heartbeat_B/s=%.0f (%.1fx) full_B/s=%.0f (%.1fx)\n",
 			n, m.peers, m.idleMean, m.idleMax, m.requests, m.baseHeartbeat, m.baseHeartbeat/m.idleMean, m.baseFull, m.baseFull/m.idleMean)
 		fmt.Printf("n=%d lazy=%v urgent99=%v urgent=%v applied=%v applied_B=%.0f | 5%% loss, %d min: suspicions=%d false=%d deaths=%d oldest word=%v\n",
-			n, m.change, m.urgent99, m.urgent, m.applied, m.appliedBytes, lossMinutes, m.suspicions, m.falses, m.deaths, m.age)
+			n, m.change, m.urgent99, m.urgent, m.applied, m.appliedBytes, lossMinutes, m.suspicions, m.falses, m.deaths, m.maxAge)
 	}
 }
--- a/internal/membership/mesh_test.go
+++ b/internal/membership/mesh_test.go
@@ -33,10 +33,10 @@
 	byAddr map[string]*vm
 	events agenda.Agenda
 
-	loss, double float64
-	delayMax     time.Duration
-	parted       func(a, b *vm) bool
-	configure    func(*Config)
+	loss, duplication float64
+	delayMax          time.Duration
+	partitioned       func(a, b *vm) bool
+	configure         func(*Config)
 
 	messages  uint64
 	bytes     uint64 // of messages, both ways, without overhead
@@ -46,11 +46,11 @@
 // vm is one node of the mesh; restarts give it a new state.
 type vm struct {
 	*State
-	info   VM
-	index  int
-	up     bool
-	paused bool
-	life   int
+	info       VM
+	index      int
+	up         bool
+	paused     bool
+	generation int
 }
 
 // newMesh makes n nodes, spread over the data centres in turn. Two thirds of
@@ -96,22 +96,22 @@
 	if w.configure != nil {
 		w.configure(&cfg)
 	}
-	v.life++
+	v.generation++
 	v.up, v.paused = true, false
-	v.State = New(cfg, w.now, rand.New(rand.NewPCG(uint64(v.index), uint64(v.life))))
-	w.tickLater(v, v.life)
+	v.State = New(cfg, w.now, rand.New(rand.NewPCG(uint64(v.index), uint64(v.generation))))
+	w.scheduleTick(v, v.generation)
 }
 
-func (w *mesh) tickLater(v *vm, life int) {
+func (w *mesh) scheduleTick(v *vm, life int) {
 	phase := time.Duration(v.index%100) * time.Millisecond
-	w.at(w.now.Truncate(tickEvery).Add(tickEvery+phase), func() {
-		if v.life != life || !v.up {
+	w.at(w.now.Truncate(tickInterval).Add(tickInterval+phase), func() {
+		if v.generation != life || !v.up {
 			return
 		}
 		if !v.paused {
 			w.drive(v)
 		}
-		w.tickLater(v, life)
+		w.scheduleTick(v, life)
 	})
 }
 
@@ -143,7 +143,7 @@
 		if done() {
 			return w.now.Sub(begin), true
 		}
-		w.run(tickEvery)
+		w.run(tickInterval)
 	}
 	return limit, done()
 }
@@ -155,18 +155,18 @@
 }
 
 func (w *mesh) lost(a, b *vm) bool {
-	return b == nil || !b.up || b.paused || (w.parted != nil && w.parted(a, b)) || w.rnd.Float64() < w.loss
+	return b == nil || !b.up || b.paused || (w.partitioned != nil && w.partitioned(a, b)) || w.rnd.Float64() < w.loss
 }
 
 // deliver carries a request, perhaps twice, and its answer back.
 func (w *mesh) deliver(from *vm, s OutgoingRequest) {
-	life := from.life
+	life := from.generation
 	w.count(s.Msg)
 	w.after(s.Timeout, func() { // a second report of the outcome is ignored
 		w.report(from, life, func() { from.HandleFailure(w.now, s.ID, errLost) })
 	})
 	copies := 1
-	if w.rnd.Float64() < w.double {
+	if w.rnd.Float64() < w.duplication {
 		copies = 2
 	}
 	for range copies {
@@ -191,7 +191,7 @@
 }
 
 func (w *mesh) report(v *vm, life int, f func()) {
-	if v.life == life && v.up && !v.paused {
+	if v.generation == life && v.up && !v.paused {
 		f()
 		w.drive(v)
 	}
@@ -208,11 +208,11 @@
 	w.bytes += uint64(proto.Size(m))
 }
 
-// settled tells whether every running node sees exactly the running nodes, all
+// converged tells whether every running node sees exactly the running nodes, all
 // alive, in their own latest records.
-func (w *mesh) settled() bool { return w.unsettled() == "" }
+func (w *mesh) converged() bool { return w.divergence() == "" }
 
-func (w *mesh) unsettled() string {
+func (w *mesh) divergence() string {
 	up := 0
 	for _, v := range w.nodes {
 		if v.up && v.self.State == VMAlive {
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -24,7 +24,7 @@
 
 func keyOf(id string) uint64 { return xxhash.Sum64String(id) }
 
-func shortKey(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
+func centreKeyOf(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // hashStamp is a record's share of the digest of its data centre.
 func hashStamp(key uint64, st stamp) uint64 {
@@ -120,8 +120,8 @@
 // maxSlots bounds the slots of one backend server; a larger number is a fault.
 const maxSlots = 1 << 20
 
-// allowed tells whether a record from a peer is well formed and within bounds.
-func (l *Limits) allowed(p *peerpb.Record) bool {
+// validRecord tells whether a record from a peer is well formed and within bounds.
+func (l *Limits) validRecord(p *peerpb.Record) bool {
 	if p.GetId() == "" || p.GetDataCentre() == "" || p.GetIncarnation() == 0 {
 		return false
 	}
@@ -131,19 +131,19 @@
 	if len(p.GetBackends()) > l.Backends || len(p.GetNotices()) > l.Notices || len(p.GetAppliedHash()) > 8 {
 		return false
 	}
-	ok := l.short(p.GetId(), p.GetRegion(), p.GetDataCentre(), p.GetControlAddr(),
+	ok := l.shortEnough(p.GetId(), p.GetRegion(), p.GetDataCentre(), p.GetControlAddr(),
 		p.GetCallAddr(), p.GetAdminAddr(), p.GetRefusedReason())
 	for _, b := range p.GetBackends() {
-		ok = ok && l.short(b.GetService(), b.GetInstance(), b.GetVersion()) && b.GetSlots() <= maxSlots
+		ok = ok && l.shortEnough(b.GetService(), b.GetInstance(), b.GetVersion()) && b.GetSlots() <= maxSlots
 		ok = ok && b.GetState() >= uint32(BackendStarting) && b.GetState() <= uint32(BackendDraining)
 	}
 	for _, n := range p.GetNotices() {
-		ok = ok && l.short(n.GetKind(), n.GetId(), n.GetDetail())
+		ok = ok && l.shortEnough(n.GetKind(), n.GetId(), n.GetDetail())
 	}
 	return ok
 }
 
-func (l *Limits) short(ss ...string) bool {
+func (l *Limits) shortEnough(ss ...string) bool {
 	for _, s := range ss {
 		if len(s) > l.StringBytes {
 			return false
@@ -152,10 +152,10 @@
 	return true
 }
 
-const digestEntry = 14 // bytes a data centre
+const digestEntryBytes = 14 // bytes a data centre
 
-// maxDigest bounds the data centres that a peer can name.
-const maxDigest = 64
+// maxDigestCentres bounds the data centres that a peer can name.
+const maxDigestCentres = 64
 
 // centreDigest is one data centre in a digest.
 type centreDigest struct {
@@ -167,7 +167,7 @@
 func appendDigest(b []byte, d centreDigest) []byte {
 	b = binary.LittleEndian.AppendUint32(b, d.key)
 	b = binary.LittleEndian.AppendUint64(b, d.hash)
-	return binary.LittleEndian.AppendUint16(b, uint16(min((d.age+ageMargin)/ageUnit, oldestAge)))
+	return binary.LittleEndian.AppendUint16(b, uint16(min((d.age+ageMargin)/ageUnit, maxAgeUnits)))
 }
 
 // An age is told a little higher than it is. Were it rounded down, or the time
@@ -175,16 +175,16 @@
 // slightly younger; passed round among many nodes it would never grow old, and
 // a cut would never be noticed.
 const (
-	ageUnit   = 100 * time.Millisecond
-	ageMargin = 500 * time.Millisecond
-	oldestAge = 1<<16 - 1 // stands for anything older
+	ageUnit     = 100 * time.Millisecond
+	ageMargin   = 500 * time.Millisecond
+	maxAgeUnits = 1<<16 - 1 // stands for anything older
 )
 
 func parseDigest(b []byte) []centreDigest {
-	n := min(len(b)/digestEntry, maxDigest)
+	n := min(len(b)/digestEntryBytes, maxDigestCentres)
 	ds := make([]centreDigest, 0, n)
 	for i := range n {
-		e := b[i*digestEntry:]
+		e := b[i*digestEntryBytes:]
 		ds = append(ds, centreDigest{
 			key:  binary.LittleEndian.Uint32(e),
 			hash: binary.LittleEndian.Uint64(e[4:]),
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -12,10 +12,10 @@
 const maxHealth = 8
 
 // relay is a probe made for another node.
-type relay struct{ asker, target string }
+type relay struct{ requester, target string }
 
-// indirect is a probe through relays under way.
-type indirect struct {
+// indirectProbe is a probe through relays under way.
+type indirectProbe struct {
 	deadline time.Time
 	relays   int // asked
 	answered int // relays that took the order
@@ -29,58 +29,58 @@
 	// A tenth of jitter keeps nodes that started together from probing so.
 	period := s.cfg.ProbeEvery - s.cfg.ProbeEvery/20 + time.Duration(s.rnd.Int64N(int64(s.cfg.ProbeEvery/10)+1))
 	s.nextProbe = s.now.Add(period)
-	if e := s.nextTarget(); e != nil {
+	if e := s.nextProbeTarget(); e != nil {
 		s.probe(e)
 	}
 }
 
-// nextTarget returns the neighbours in turn, each once in a shuffled round;
+// nextProbeTarget returns the neighbours in turn, each once in a shuffled round;
 // those that others suspect go first.
-func (s *State) nextTarget() *entry {
+func (s *State) nextProbeTarget() *entry {
 	s.ring()
-	for len(s.first) > 0 {
-		e := s.first[0]
-		s.first = s.first[1:]
-		if !e.dead && slices.Contains(s.fingers, e) {
+	for len(s.priorityProbes) > 0 {
+		e := s.priorityProbes[0]
+		s.priorityProbes = s.priorityProbes[1:]
+		if !e.dead && slices.Contains(s.probeTargets, e) {
 			return e
 		}
 	}
 	for range 2 {
-		for len(s.cycle) > 0 {
-			e := s.cycle[0]
-			s.cycle = s.cycle[1:]
-			if slices.Contains(s.fingers, e) {
+		for len(s.probeRound) > 0 {
+			e := s.probeRound[0]
+			s.probeRound = s.probeRound[1:]
+			if slices.Contains(s.probeTargets, e) {
 				return e
 			}
 		}
-		s.cycle = shuffled(s, s.fingers, len(s.fingers))
+		s.probeRound = shuffled(s, s.probeTargets, len(s.probeTargets))
 	}
 	return nil
 }
 
 func (s *State) probe(e *entry) {
 	m := &peerpb.Membership{Kind: peerpb.Kind_KIND_PROBE}
-	s.fill(m, e.rec.VM.ID, nil)
+	s.piggyback(m, e.rec.VM.ID, nil)
 	m.Digest = s.digest()
 	s.stats.Probes++
-	s.send(e, m, s.patience(s.cfg.ProbeTimeout))
+	s.send(e, m, s.scaleTimeout(s.cfg.ProbeTimeout))
 }
 
-// patience widens a timeout while this node itself seems slow.
-func (s *State) patience(d time.Duration) time.Duration {
+// scaleTimeout widens a timeout while this node itself seems slow.
+func (s *State) scaleTimeout(d time.Duration) time.Duration {
 	return d * time.Duration(1+s.health)
 }
 
-func (s *State) unwell(by int) {
+func (s *State) adjustHealth(by int) {
 	s.health = max(0, min(maxHealth, s.health+by))
 }
 
 func (s *State) probeAnswered(id uint64, target string) {
-	s.rollAnswer(id, true)
-	s.unwell(-1)
+	s.recordSampleResult(id, true)
+	s.adjustHealth(-1)
 	if r, ok := s.relaying[id]; ok {
 		delete(s.relaying, id)
-		s.vouch(r)
+		s.sendVouch(r)
 	}
 	delete(s.indirect, target)
 }
@@ -93,13 +93,13 @@
 		return
 	}
 	s.stats.ProbeFailures++
-	s.unwell(1)
+	s.adjustHealth(1)
 	helpers := slices.DeleteFunc(s.neighbours(e.key, true), func(r *entry) bool {
 		return r == nil || r == e || r.suspicion != nil
 	})
 	helpers = shuffled(s, helpers, s.cfg.Relays)
-	wait := s.patience(s.cfg.IndirectTimeout)
-	s.indirect[target] = &indirect{deadline: s.now.Add(wait), relays: len(helpers)}
+	wait := s.scaleTimeout(s.cfg.IndirectTimeout)
+	s.indirect[target] = &indirectProbe{deadline: s.now.Add(wait), relays: len(helpers)}
 	for _, r := range helpers {
 		m := &peerpb.Membership{Kind: peerpb.Kind_KIND_RELAY, Target: target}
 		s.send(r, m, wait)
@@ -124,17 +124,17 @@
 	}
 	m := &peerpb.Membership{Kind: peerpb.Kind_KIND_PROBE}
 	id := s.send(e, m, s.cfg.ProbeTimeout)
-	s.relaying[id] = relay{asker: asker, target: target}
+	s.relaying[id] = relay{requester: asker, target: target}
 }
 
-func (s *State) vouch(r relay) {
-	if e := s.entries[r.asker]; e != nil && !e.dead {
+func (s *State) sendVouch(r relay) {
+	if e := s.entries[r.requester]; e != nil && !e.dead {
 		m := &peerpb.Membership{Kind: peerpb.Kind_KIND_VOUCH, Target: r.target}
 		s.send(e, m, s.cfg.ProbeTimeout)
 	}
 }
 
-func (s *State) vouched(target string) { delete(s.indirect, target) }
+func (s *State) handleVouch(target string) { delete(s.indirect, target) }
 
 // tickIndirect suspects the nodes that neither we nor the relays reached. When
 // no relay answered either, the fault is as likely ours and nothing is said.
@@ -149,11 +149,11 @@
 		}
 		delete(s.indirect, target)
 		e := s.entries[target]
-		if e == nil || e.dead || s.now.Before(s.settled) {
+		if e == nil || e.dead || s.now.Before(s.graceUntil) {
 			continue
 		}
 		if in.relays > 0 && in.answered == 0 {
-			s.unwell(1)
+			s.adjustHealth(1)
 			continue
 		}
 		s.suspect(e)
--- a/internal/membership/retell_test.go
+++ b/internal/membership/propagation_test.go
@@ -11,15 +11,15 @@
 // still spends four times the control bytes that it should. All records are
 // new to all nodes at once, and each node goes on telling every one of them to
 // peers that have long had it.
-func TestAgreeingPeersStopTelling(t *testing.T) {
+func TestConvergedPeersSendNoRecords(t *testing.T) {
 	w := newMesh(120, 3, nil)
-	w.mustSettle(t, time.Minute)
+	w.mustConverge(t, time.Minute)
 	w.run(time.Minute)
-	told := 0
-	w.delivered = func(_ *vm, m *peerpb.Membership) { told += len(m.GetRecords()) }
+	sent := 0
+	w.delivered = func(_ *vm, m *peerpb.Membership) { sent += len(m.GetRecords()) }
 	w.run(10 * time.Second)
-	if told > 0 {
-		t.Errorf("%d records told to peers that hold them", told)
+	if sent > 0 {
+		t.Errorf("%d records told to peers that hold them", sent)
 	}
 }
 
@@ -28,9 +28,9 @@
 // records cross by two bridges, ten with each of their slow exchanges. And a
 // returned node that another one of the herd let in lacks whole data centres,
 // which it makes good one at a time.
-func TestAHerdIsKnownEverywhereSoon(t *testing.T) {
+func TestMassRestartReachesOtherRegions(t *testing.T) {
 	w := newMesh(120, 4, nil)
-	w.mustSettle(t, time.Minute)
+	w.mustConverge(t, time.Minute)
 	w.run(time.Minute)
 	var herd []*vm
 	for _, v := range w.nodes {
@@ -44,7 +44,7 @@
 		w.start(v)
 	}
 	// Exchanges with the other region are up to 15 s apart.
-	if _, ok := w.runUntil(12*time.Second, w.settled); !ok {
-		t.Errorf("12 s later: %s", w.unsettled())
+	if _, ok := w.runUntil(12*time.Second, w.converged); !ok {
+		t.Errorf("12 s later: %s", w.divergence())
 	}
 }
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -22,7 +22,7 @@
 	v.Records[v.Self] = &ObservedRecord{Record: s.self, UpdatedAt: s.now}
 	for id, e := range s.entries {
 		if !e.dead {
-			v.Records[id] = s.seen(e)
+			v.Records[id] = s.observed(e)
 		}
 	}
 	s.view = v
@@ -35,25 +35,25 @@
 	return s.viewDirty || s.heldDirty || s.view == nil, s.viewDirty || s.view == nil
 }
 
-func (s *State) seen(e *entry) *ObservedRecord {
+func (s *State) observed(e *entry) *ObservedRecord {
 	state := e.rec.State
-	if state == VMAlive && (e.suspicion != nil || s.unheard(e)) {
+	if state == VMAlive && (e.suspicion != nil || s.cutOffSinceExchange(e)) {
 		state = VMSuspect
 	}
 	if e.published != nil && e.published.State == state {
 		return e.published
 	}
-	e.published = &ObservedRecord{Record: e.rec, UpdatedAt: e.heard}
+	e.published = &ObservedRecord{Record: e.rec, UpdatedAt: e.updatedAt}
 	e.published.State = state
-	if e.held > e.rec.AppliedVersion {
+	if e.heldVersion > e.rec.AppliedVersion {
 		// Only the number of the newer version is known.
-		e.published.AppliedVersion, e.published.AppliedHash = e.held, [8]byte{}
+		e.published.AppliedVersion, e.published.AppliedHash = e.heldVersion, [8]byte{}
 	}
 	return e.published
 }
 
-// unheard tells whether e is behind a cut and was not itself reached since.
-func (s *State) unheard(e *entry) bool {
+// cutOffSinceExchange tells whether e is behind a cut and was not itself reached since.
+func (s *State) cutOffSinceExchange(e *entry) bool {
 	since, cut := s.cutOff[e.centre.name]
-	return cut && !e.ok.After(since)
+	return cut && !e.lastExchange.After(since)
 }
--- a/internal/membership/publish_test.go
+++ b/internal/membership/publish_test.go
@@ -12,11 +12,11 @@
 		rec:    Record{State: VMAlive, AppliedVersion: 1, AppliedHash: [8]byte{1}},
 		centre: &centre{name: "dc"},
 	}
-	if r := s.seen(e); r.AppliedVersion != 1 || r.AppliedHash != [8]byte{1} {
+	if r := s.observed(e); r.AppliedVersion != 1 || r.AppliedHash != [8]byte{1} {
 		t.Errorf("as its record says: %d %x", r.AppliedVersion, r.AppliedHash)
 	}
-	e.held, e.published = 2, nil
-	if r := s.seen(e); r.AppliedVersion != 2 || r.AppliedHash != [8]byte{} {
+	e.heldVersion, e.published = 2, nil
+	if r := s.observed(e); r.AppliedVersion != 2 || r.AppliedHash != [8]byte{} {
 		t.Errorf("seen with version 2: %d with the hash %x", r.AppliedVersion, r.AppliedHash)
 	}
 }
--- a/internal/membership/push_test.go
+++ b/internal/membership/push_test.go
@@ -8,8 +8,8 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// pushed counts the urgent messages that each node gets.
-func (w *mesh) pushed() map[*vm]int {
+// countPushes counts the urgent messages that each node gets.
+func (w *mesh) countPushes() map[*vm]int {
 	counts := make(map[*vm]int)
 	w.delivered = func(to *vm, m *peerpb.Membership) {
 		if m.GetKind() == peerpb.Kind_KIND_PUSH {
@@ -21,15 +21,15 @@
 
 // Guards the pattern of a large data centre in which backend servers leave all the time: what its
 // bridges are told must not grow with it, and other data centres must hear of each within two seconds.
-func TestBridgesAreToldByAFew(t *testing.T) {
+func TestPushesToBridgesAreBounded(t *testing.T) {
 	const changes = 12
 	busiest := func(n int) (most int) {
 		w := newMesh(n, 2, func(c *Config) { *c = FastConvergence(*c); c.PushAllChanges = true })
-		if _, ok := w.runUntil(3*time.Minute, w.settled); !ok {
-			t.Fatalf("%d nodes: %s", n, w.unsettled())
+		if _, ok := w.runUntil(3*time.Minute, w.converged); !ok {
+			t.Fatalf("%d nodes: %s", n, w.divergence())
 		}
 		w.run(10 * time.Second)
-		counts := w.pushed()
+		counts := w.countPushes()
 		for i := range changes {
 			v := w.nodes[i*n/changes]
 			ready := Backend{Service: "berths", Instance: "i", Slots: 4, State: BackendReady}
--- a/internal/membership/ring.go
+++ b/internal/membership/ring.go
@@ -8,8 +8,8 @@
 	"github.com/dgryski/go-rendezvous"
 )
 
-// order returns the live entries of a data centre by key, without this node.
-func (s *State) order(c *centre) []*entry {
+// sortedMembers returns the live entries of a data centre by key, without this node.
+func (s *State) sortedMembers(c *centre) []*entry {
 	if c.members != nil {
 		return c.members
 	}
@@ -33,15 +33,15 @@
 func (s *State) neighbours(key uint64, backwards bool) []*entry {
 	ring := s.ring()
 	n := len(ring)
-	at, found := slices.BinarySearchFunc(ring, key, func(e *entry, k uint64) int { return cmp.Compare(s.keyOf(e), k) })
+	self, found := slices.BinarySearchFunc(ring, key, func(e *entry, k uint64) int { return cmp.Compare(s.keyOf(e), k) })
 	if !found || n < 2 {
 		return nil
 	}
 	var out []*entry
 	for d := 1; d < n; d *= 2 {
-		i := at + d
+		i := self + d
 		if backwards {
-			i = at - d + n
+			i = self - d + n
 		}
 		out = append(out, ring[i%n])
 	}
@@ -61,7 +61,7 @@
 	if s.ringCache != nil {
 		return s.ringCache
 	}
-	members := s.order(s.home)
+	members := s.sortedMembers(s.home)
 	ring := make([]*entry, 0, len(members)+1)
 	for _, e := range members {
 		if e.rec.State == VMAlive {
@@ -70,7 +70,7 @@
 	}
 	at := sort.Search(len(ring), func(i int) bool { return ring[i].key > s.key })
 	s.ringCache = slices.Insert(ring, at, nil)
-	s.fingers = s.neighbours(s.key, false)
+	s.probeTargets = s.neighbours(s.key, false)
 	s.observers = s.neighbours(s.key, true)
 	return s.ringCache
 }
@@ -79,7 +79,7 @@
 func (s *State) peers() []*entry {
 	s.ring()
 	var out []*entry
-	for _, e := range slices.Concat(s.fingers, s.observers) {
+	for _, e := range slices.Concat(s.probeTargets, s.observers) {
 		if e != nil && e.suspicion == nil && !slices.Contains(out, e) {
 			out = append(out, e)
 		}
@@ -87,13 +87,13 @@
 	return out
 }
 
-// chosen returns the n nodes of a data centre that rendezvous hashing picks
+// selectBridges returns the n nodes of a data centre that rendezvous hashing picks
 // as bridges; nil stands for this node. Views differ for a while after a
 // change, so there may be more bridges than n for that while, or one that is
 // gone: the work is harmless when doubled.
-func (s *State) chosen(c *centre, n int) []*entry {
+func (s *State) selectBridges(c *centre, n int) []*entry {
 	var ids []string
-	for _, e := range s.order(c) {
+	for _, e := range s.sortedMembers(c) {
 		if e.suspicion == nil && e.rec.State == VMAlive {
 			ids = append(ids, e.rec.VM.ID)
 		}
@@ -115,16 +115,16 @@
 // bridgesOf returns the bridges of a data centre.
 func (s *State) bridgesOf(c *centre) []*entry {
 	if c.bridges == nil {
-		c.bridges = s.chosen(c, s.cfg.Bridges)
+		c.bridges = s.selectBridges(c, s.cfg.Bridges)
 	}
 	return c.bridges
 }
 
-func (s *State) amBridge() bool { return slices.Contains(s.bridgesOf(s.home), nil) }
+func (s *State) isBridge() bool { return slices.Contains(s.bridgesOf(s.home), nil) }
 
 // ShouldWriteContact tells whether this node should write its row of contacts: only a
 // few nodes of each data centre, its bridges, do.
-func (s *State) ShouldWriteContact() bool { return s.joined && s.amBridge() }
+func (s *State) ShouldWriteContact() bool { return s.joined && s.isBridge() }
 
 // shuffled returns up to n of list in random order.
 func shuffled[T any](s *State, list []T, n int) []T {
--- a/internal/membership/runner.go
+++ b/internal/membership/runner.go
@@ -20,25 +20,25 @@
 }
 
 const (
-	tickEvery = 100 * time.Millisecond
-	// heldEvery bounds how often a view is built for nothing but the versions
+	tickInterval = 100 * time.Millisecond
+	// heldViewInterval bounds how often a view is built for nothing but the versions
 	// that nodes hold, which change in many small steps.
-	heldEvery = time.Second
-	// contactEvery is the time between two writes of a contact row.
-	contactEvery = 10 * time.Minute
-	// contactRead is the time between two reads while they can help.
-	contactRead = 10 * time.Second
-	// contactStart is the time between two reads of a node that has not joined,
+	heldViewInterval = time.Second
+	// contactWriteInterval is the time between two writes of a contact row.
+	contactWriteInterval = 10 * time.Minute
+	// contactReadInterval is the time between two reads while they can help.
+	contactReadInterval = 10 * time.Second
+	// contactStartInterval is the time between two reads of a node that has not joined,
 	// where the rows are the only way to find others.
-	contactStart = 800 * time.Millisecond
-	// contactSpread is the time over which nodes that start together spread their first
+	contactStartInterval = 800 * time.Millisecond
+	// contactStartJitter is the time over which nodes that start together spread their first
 	// look at the rows: some answers of the platform long, so that the first few write theirs
 	// and the others find enough to join. At once, each finds none, writes its own, and has to
 	// look again.
-	contactSpread = 100 * time.Millisecond
-	// contactCheck is the time between two reads by the nodes whose duty it is
+	contactStartJitter = 100 * time.Millisecond
+	// contactCheckInterval is the time between two reads by the nodes whose duty it is
 	// to write one: nodes that started together may have formed several meshes.
-	contactCheck = time.Minute
+	contactCheckInterval = time.Minute
 	// maxExchanges bounds the requests under way.
 	maxExchanges = 32
 )
@@ -79,9 +79,9 @@
 	var exchanges errgroup.Group
 	exchanges.SetLimit(maxExchanges)
 	if r.contacts != nil {
-		group.Go(func() error { return r.keepContacts(ctx) })
+		group.Go(func() error { return r.runContacts(ctx) })
 	}
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		r.step(ctx, &exchanges)
@@ -114,7 +114,7 @@
 // publish builds a new view when one is due.
 func (r *Runner) publish(now time.Time) {
 	stale, records := r.state.Stale()
-	if !stale || (!records && now.Sub(r.published) < heldEvery) {
+	if !stale || (!records && now.Sub(r.published) < heldViewInterval) {
 		return
 	}
 	r.published = now
@@ -125,7 +125,7 @@
 	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
 	ans, err := r.transport.Exchange(ctx, s.Addr, s.Msg)
-	r.do(func(st *State, now time.Time) {
+	r.update(func(st *State, now time.Time) {
 		if err != nil {
 			st.HandleFailure(now, s.ID, err)
 			return
@@ -137,8 +137,8 @@
 	}
 }
 
-// do runs f on the state and lets Run act on what came of it.
-func (r *Runner) do(f func(*State, time.Time)) {
+// update runs f on the state and lets Run act on what came of it.
+func (r *Runner) update(f func(*State, time.Time)) {
 	r.mu.Lock()
 	f(r.state, time.Now())
 	r.mu.Unlock()
@@ -150,91 +150,91 @@
 
 // Request answers a request of the node from.
 func (r *Runner) Request(from string, m *peerpb.Membership) (ans *peerpb.Membership) {
-	r.do(func(s *State, now time.Time) { ans = s.HandleRequest(now, from, m) })
+	r.update(func(s *State, now time.Time) { ans = s.HandleRequest(now, from, m) })
 	return ans
 }
 
 // SetBackends replaces the backend servers beside this node.
 func (r *Runner) SetBackends(list []Backend) (err error) {
-	r.do(func(s *State, now time.Time) { err = s.SetBackends(now, list) })
+	r.update(func(s *State, now time.Time) { err = s.SetBackends(now, list) })
 	return err
 }
 
 // SetNotices replaces the notices of this node.
 func (r *Runner) SetNotices(list []Notice) (err error) {
-	r.do(func(s *State, now time.Time) { err = s.SetNotices(now, list) })
+	r.update(func(s *State, now time.Time) { err = s.SetNotices(now, list) })
 	return err
 }
 
 // SetConfigStatus tells which version is in force here.
 func (r *Runner) SetConfigStatus(a ConfigStatus) {
-	r.do(func(s *State, now time.Time) { s.SetConfigStatus(now, a) })
+	r.update(func(s *State, now time.Time) { s.SetConfigStatus(now, a) })
 }
 
 // Leave tells the mesh that this node leaves. Run has to go on for about two
 // seconds more for the word to get out.
-func (r *Runner) Leave() { r.do((*State).Leave) }
+func (r *Runner) Leave() { r.update((*State).Leave) }
 
 // Recall returns what peers remember of the version held before a restart.
 func (r *Runner) Recall() (out Recall) {
-	r.peek(func(s *State) { out = s.Recall() })
+	r.read(func(s *State) { out = s.Recall() })
 	return out
 }
 
 // Joined tells whether the node has a full state, or found nobody to ask.
 func (r *Runner) Joined() (out bool) {
-	r.peek(func(s *State) { out = s.Joined() })
+	r.read(func(s *State) { out = s.Joined() })
 	return out
 }
 
 // Superseded tells since when another process claims this node's ID with a
 // later start.
 func (r *Runner) Superseded() (at time.Time, yes bool) {
-	r.peek(func(s *State) { at, yes = s.Superseded() })
+	r.read(func(s *State) { at, yes = s.Superseded() })
 	return at, yes
 }
 
 // Stats returns the counters.
 func (r *Runner) Stats() (out Stats) {
-	r.peek(func(s *State) { out = s.Stats() })
+	r.read(func(s *State) { out = s.Stats() })
 	return out
 }
 
-func (r *Runner) peek(f func(*State)) {
+func (r *Runner) read(f func(*State)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.state)
 }
 
-// keepContacts reads the platform's contacts while they can help and, on the
+// runContacts reads the platform's contacts while they can help and, on the
 // few nodes whose duty it is, writes the own one.
-func (r *Runner) keepContacts(ctx context.Context) error {
+func (r *Runner) runContacts(ctx context.Context) error {
 	var written, read time.Time
 	if r.state.cfg.WriteContactEarly {
-		_ = wait.For(ctx, rand.N(contactSpread))
+		_ = wait.For(ctx, rand.N(contactStartJitter))
 	}
 	for ctx.Err() == nil {
-		var want, duty, early bool
-		r.peek(func(s *State) {
-			want, duty = s.ShouldReadContacts(), s.ShouldWriteContact()
+		var needed, writer, early bool
+		r.read(func(s *State) {
+			needed, writer = s.ShouldReadContacts(), s.ShouldWriteContact()
 			// One that took itself to be the first, since the platform was down as
 			// well, goes on looking: it serves nobody until it finds the others.
 			early = s.cfg.WriteContactEarly && s.live == 0
 			// One that knows somebody has whom to ask for the rest.
-			want = want && (s.joined || early || !s.cfg.WriteContactEarly)
+			needed = needed && (s.joined || early || !s.cfg.WriteContactEarly)
 		})
-		due := (duty || early) && time.Since(written) >= contactEvery
+		due := (writer || early) && time.Since(written) >= contactWriteInterval
 		enough := false
-		if want || due || (duty && time.Since(read) >= contactCheck) {
+		if needed || due || (writer && time.Since(read) >= contactCheckInterval) {
 			read = time.Now()
-			enough = r.readContacts(ctx, duty)
+			enough = r.readContacts(ctx, writer)
 		}
 		if due && !enough && r.writeContact(ctx) {
 			written = time.Now()
 		}
-		pause := contactRead/2 + time.Duration(rand.Int64N(int64(contactRead)))
+		pause := contactReadInterval/2 + time.Duration(rand.Int64N(int64(contactReadInterval)))
 		if early {
-			pause = contactStart/2 + time.Duration(rand.Int64N(int64(contactStart)))
+			pause = contactStartInterval/2 + time.Duration(rand.Int64N(int64(contactStartInterval)))
 		}
 		_ = wait.For(ctx, pause)
 	}
@@ -246,8 +246,8 @@
 // the writer's, so the row of a node whose duty it is now stays, and one that
 // lies far ahead is as old as one that lies far back. It reports whether other nodes there wrote so many
 // rows that one more helps nobody, as when all start with an empty table.
-func (r *Runner) readContacts(ctx context.Context, duty bool) (enough bool) {
-	ctx, cancel := context.WithTimeout(ctx, contactRead/2)
+func (r *Runner) readContacts(ctx context.Context, writer bool) (enough bool) {
+	ctx, cancel := context.WithTimeout(ctx, contactReadInterval/2)
 	defer cancel()
 	rows, err := r.contacts.List(ctx)
 	if err != nil {
@@ -259,23 +259,23 @@
 	for _, row := range rows {
 		home := row.DataCentre == self.DataCentre
 		age := time.Since(row.At).Abs()
-		if duty && home && age > 3*contactEvery && !r.refreshes(row.ID) {
+		if writer && home && age > 3*contactWriteInterval && !r.isContactWriter(row.ID) {
 			r.removeContact(ctx, row.Contact)
 			continue
 		}
-		if home && row.ID != self.ID && age < contactEvery {
+		if home && row.ID != self.ID && age < contactWriteInterval {
 			others++
 		}
 		list = append(list, row.Contact)
 	}
-	r.do(func(s *State, now time.Time) { s.AddContacts(now, list) })
+	r.update(func(s *State, now time.Time) { s.AddContacts(now, list) })
 	return others >= 2*r.state.cfg.Bridges
 }
 
-// refreshes tells whether the node is one of the own data centre that write
+// isContactWriter tells whether the node is one of the own data centre that write
 // their rows of contacts; see ShouldWriteContact.
-func (r *Runner) refreshes(id string) (yes bool) {
-	r.peek(func(s *State) {
+func (r *Runner) isContactWriter(id string) (yes bool) {
+	r.read(func(s *State) {
 		e := s.entries[id] // nil stands for this node among the bridges
 		yes = e != nil && slices.Contains(s.bridgesOf(s.home), e)
 	})
@@ -289,7 +289,7 @@
 }
 
 func (r *Runner) writeContact(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, contactRead/2)
+	ctx, cancel := context.WithTimeout(ctx, contactReadInterval/2)
 	defer cancel()
 	self := r.state.cfg.Self
 	row := ContactRow{
--- a/internal/membership/runner_test.go
+++ b/internal/membership/runner_test.go
@@ -14,15 +14,15 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// memory is a transport between Runners of one process.
-type memory struct {
+// memoryNetwork is a transport between Runners of one process.
+type memoryNetwork struct {
 	mu    sync.Mutex
 	peers map[string]*Runner
 	rows  map[string]ContactRow
 	reads int
 }
 
-func (t *memory) Exchange(ctx context.Context, addr string, m *peerpb.Membership) (*peerpb.Membership, error) {
+func (t *memoryNetwork) Exchange(ctx context.Context, addr string, m *peerpb.Membership) (*peerpb.Membership, error) {
 	t.mu.Lock()
 	r := t.peers[addr]
 	t.mu.Unlock()
@@ -34,7 +34,7 @@
 	return r.Request(m.GetFrom(), m), nil
 }
 
-func (t *memory) List(context.Context) (out []ContactRow, _ error) {
+func (t *memoryNetwork) List(context.Context) (out []ContactRow, _ error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reads++
@@ -44,14 +44,14 @@
 	return out, nil
 }
 
-func (t *memory) Put(_ context.Context, c ContactRow) error {
+func (t *memoryNetwork) Put(_ context.Context, c ContactRow) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rows[c.ID] = c
 	return nil
 }
 
-func (t *memory) Remove(_ context.Context, c Contact) error {
+func (t *memoryNetwork) Remove(_ context.Context, c Contact) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.rows, c.ID)
@@ -63,10 +63,10 @@
 // are well, for old and removes them; the other four look fresh for a day, so
 // nobody writes a row. A herd that starts finds only addresses that are gone.
 func TestContactsSurviveWrongClocks(t *testing.T) {
-	net := &memory{peers: map[string]*Runner{}, rows: map[string]ContactRow{}}
+	net := &memoryNetwork{peers: map[string]*Runner{}, rows: map[string]ContactRow{}}
 	self := VM{ID: "vm-0", DataCentre: "dc-0", ControlAddr: "10.0.0.1:7000"}
 	r := NewRunner(DefaultConfig(self), net, net, new(CurrentView), zerolog.Nop())
-	r.do(func(s *State, _ time.Time) { s.accept(goodRecord(), 0) })
+	r.update(func(s *State, _ time.Time) { s.accept(goodRecord(), 0) })
 	put := func(id string, at time.Time) {
 		net.rows[id] = ContactRow{Contact: Contact{ID: id, DataCentre: "dc-0", ControlAddr: id + ":7000"}, At: at}
 	}
@@ -90,7 +90,7 @@
 func TestRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 12
-		net := &memory{peers: map[string]*Runner{}, rows: map[string]ContactRow{}}
+		net := &memoryNetwork{peers: map[string]*Runner{}, rows: map[string]ContactRow{}}
 		net.rows["vm-old"] = ContactRow{Contact: Contact{ID: "vm-old", DataCentre: "dc-0", ControlAddr: "gone:1"}, At: time.Now().Add(-time.Hour)}
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -11,16 +11,16 @@
 // ErrRecordTooLarge is given for a change to the own record that is over a limit.
 var ErrRecordTooLarge = errors.New("membership: the record would be over a limit")
 
-// own is what this node keeps of its own record.
-type own struct {
-	dirty      bool // a lazy change waits
-	push       bool // the next raise is told at once
-	nextRaise  time.Time
-	urgent     bool
-	superseded time.Time
-	joinedAt   time.Time
-	met        map[string]struct{} // data centres ever known
-	metAt      time.Time           // when the last of them became known
+// ownRecord is what this node keeps of its ownRecord record.
+type ownRecord struct {
+	changePending bool // a lazy change waits
+	pushPending   bool // the next raise is told at once
+	nextUpdate    time.Time
+	urgent        bool
+	supersededAt  time.Time
+	joinedAt      time.Time
+	knownCentres  map[string]struct{} // data centres ever known
+	newCentreAt   time.Time           // when the last of them became known
 }
 
 // ConfigStatus is what SetConfigStatus tells of the configuration in force.
@@ -31,28 +31,28 @@
 	RefusedReason  string
 }
 
-func (s *State) linkOwn() {
+func (s *State) toggleOwnHash() {
 	s.home.hash ^= hashStamp(s.key, s.self.stamp())
 	s.home.idset ^= hashStamp(s.key, stamp{s.self.VM.Incarnation, 0})
 }
 
-// changeOwn is the only place that raises the own record.
-func (s *State) changeOwn(incarnation uint64, urgent bool) {
-	s.linkOwn() // the digest is a sum by XOR: linking twice unlinks
+// publishOwn is the only place that raises the own record.
+func (s *State) publishOwn(incarnation uint64, urgent bool) {
+	s.toggleOwnHash() // the digest is a sum by XOR: linking twice unlinks
 	if incarnation > s.self.VM.Incarnation {
 		s.self.VM.Incarnation = incarnation
 	}
 	s.self.Sequence++
-	s.linkOwn()
-	urgent = urgent || s.own.push
-	s.own.dirty, s.own.push = false, false
-	s.own.nextRaise = s.now.Add(s.cfg.RecordUpdateEvery)
+	s.toggleOwnHash()
+	urgent = urgent || s.own.pushPending
+	s.own.changePending, s.own.pushPending = false, false
+	s.own.nextUpdate = s.now.Add(s.cfg.RecordUpdateEvery)
 	s.viewDirty = true
-	s.heatOwn(urgent)
+	s.queueOwn(urgent)
 }
 
-func (s *State) heatOwn(urgent bool) {
-	s.hotOwn = s.spread()
+func (s *State) queueOwn(urgent bool) {
+	s.ownSends = s.retransmitLimit()
 	s.own.urgent = s.own.urgent || urgent
 }
 
@@ -60,21 +60,21 @@
 // service is told at once; the rest waits for the next messages.
 func (s *State) SetBackends(now time.Time, list []Backend) error {
 	s.advance(now)
-	if err := s.fits(Record{Backends: list}); err != nil {
+	if err := s.checkOwnLimits(Record{Backends: list}); err != nil {
 		return err
 	}
 	if slices.Equal(list, s.self.Backends) {
 		return nil
 	}
-	urgent := lessServed(s.self.Backends, list)
+	urgent := removesReadyBackend(s.self.Backends, list)
 	s.self.Backends = slices.Clone(list)
-	s.own.push = s.own.push || s.cfg.PushAllChanges
-	s.changed(urgent)
+	s.own.pushPending = s.own.pushPending || s.cfg.PushAllChanges
+	s.ownChanged(urgent)
 	return nil
 }
 
-// lessServed tells whether a backend server that was ready no longer is.
-func lessServed(before, after []Backend) bool {
+// removesReadyBackend tells whether a backend server that was ready no longer is.
+func removesReadyBackend(before, after []Backend) bool {
 	for _, b := range before {
 		ready := func(a Backend) bool {
 			return a.Service == b.Service && a.Instance == b.Instance && a.State == BackendReady
@@ -89,12 +89,12 @@
 // SetNotices replaces the notices of this node; they are told at once.
 func (s *State) SetNotices(now time.Time, list []Notice) error {
 	s.advance(now)
-	if err := s.fits(Record{Notices: list}); err != nil {
+	if err := s.checkOwnLimits(Record{Notices: list}); err != nil {
 		return err
 	}
 	if !slices.Equal(list, s.self.Notices) {
 		s.self.Notices = slices.Clone(list)
-		s.changed(true)
+		s.ownChanged(true)
 	}
 	return nil
 }
@@ -106,14 +106,14 @@
 	s.advance(now)
 	refused := a.RefusedVersion != s.self.RefusedVersion || a.RefusedReason != s.self.RefusedReason
 	if a.Version != s.self.AppliedVersion {
-		s.heatHeld()
+		s.queueHeld()
 	}
 	s.self.AppliedVersion, s.self.AppliedHash = a.Version, a.Hash
 	s.self.RefusedVersion = a.RefusedVersion
 	s.self.RefusedReason = a.RefusedReason[:min(len(a.RefusedReason), s.cfg.Limits.StringBytes)]
 	s.heldDirty = true
 	if refused {
-		s.changed(false)
+		s.ownChanged(false)
 	}
 }
 
@@ -126,27 +126,27 @@
 	}
 	s.self.State = VMLeaving
 	s.home.bridges = nil
-	s.changed(true)
+	s.ownChanged(true)
 }
 
-func (s *State) fits(r Record) error {
+func (s *State) checkOwnLimits(r Record) error {
 	r.VM, r.State = s.self.VM, VMAlive
-	if !s.cfg.Limits.allowed(encodeRecord(&r)) {
+	if !s.cfg.Limits.validRecord(encodeRecord(&r)) {
 		s.stats.Refused++
 		return ErrRecordTooLarge
 	}
 	return nil
 }
 
-// changed raises the record at once or, for a lazy change, at most every
+// ownChanged raises the record at once or, for a lazy change, at most every
 // RecordUpdateEvery, so that a flapping backend server costs a bounded number of
 // updates.
-func (s *State) changed(urgent bool) {
-	if urgent || !s.now.Before(s.own.nextRaise) {
-		s.changeOwn(0, urgent)
+func (s *State) ownChanged(urgent bool) {
+	if urgent || !s.now.Before(s.own.nextUpdate) {
+		s.publishOwn(0, urgent)
 		return
 	}
-	s.own.dirty = true
+	s.own.changePending = true
 	s.viewDirty = true
 }
 
@@ -154,12 +154,12 @@
 	keep := slices.DeleteFunc(slices.Clone(s.self.Notices), func(n Notice) bool { return n.Expires <= s.now.UnixMilli() })
 	if len(keep) != len(s.self.Notices) {
 		s.self.Notices = keep
-		s.own.dirty = true
+		s.own.changePending = true
 	}
 	// Others drop a leaving record after LeavingRetention; say that we live on.
-	stay := s.self.State == VMLeaving && s.now.Sub(s.own.nextRaise) > s.cfg.LeavingRetention/2
-	if (s.own.dirty || stay) && !s.now.Before(s.own.nextRaise) && s.own.superseded.IsZero() {
-		s.changeOwn(0, false)
+	refreshLeaving := s.self.State == VMLeaving && s.now.Sub(s.own.nextUpdate) > s.cfg.LeavingRetention/2
+	if (s.own.changePending || refreshLeaving) && !s.now.Before(s.own.nextUpdate) && s.own.supersededAt.IsZero() {
+		s.publishOwn(0, false)
 	}
 }
 
@@ -175,22 +175,22 @@
 	if !st.newer(s.self.stamp()) {
 		return
 	}
-	if s.young() {
-		s.changeOwn(st.incarnation+1, false)
+	if s.mayBePredecessor() {
+		s.publishOwn(st.incarnation+1, false)
 		return
 	}
 	s.stats.DuplicateIDs++
 	if st.incarnation == s.self.VM.Incarnation {
 		// Started in the same millisecond: part the two by chance.
-		s.changeOwn(st.incarnation+1+s.rnd.Uint64N(1000), false)
+		s.publishOwn(st.incarnation+1+s.rnd.Uint64N(1000), false)
 		return
 	}
-	if s.own.superseded.IsZero() {
-		s.own.superseded = s.now
+	if s.own.supersededAt.IsZero() {
+		s.own.supersededAt = s.now
 	}
 }
 
-// young tells whether what is said of this node may still be about an earlier
+// mayBePredecessor tells whether what is said of this node may still be about an earlier
 // process under its ID.
 //
 // That lasts for a while after the join, and again after another data centre
@@ -198,29 +198,29 @@
 // it is cut off, only the others remember its former processes, and only after
 // the cut do they say so. Had those had faster clocks, each node would take its
 // own past for a later process and carry no traffic any more.
-func (s *State) young() bool {
+func (s *State) mayBePredecessor() bool {
 	recent := func(at time.Time) bool { return s.now.Sub(at) < s.cfg.LeavingRetention }
-	return !s.joined || recent(s.own.joinedAt) || recent(s.own.metAt)
+	return !s.joined || recent(s.own.joinedAt) || recent(s.own.newCentreAt)
 }
 
-// meet notes that a data centre is known. Where the same message told the own
+// noteCentre notes that a data centre is known. Where the same message told the own
 // record before it told of the data centre, it was judged too early; it is told
 // again.
-func (s *State) meet(name string) {
-	if _, known := s.own.met[name]; known || len(s.own.met) >= maxDigest {
+func (s *State) noteCentre(name string) {
+	if _, known := s.own.knownCentres[name]; known || len(s.own.knownCentres) >= maxDigestCentres {
 		return
 	}
-	s.own.met[name] = struct{}{}
-	s.own.metAt = s.now
-	if s.own.superseded.Equal(s.now) {
-		s.own.superseded = time.Time{}
+	s.own.knownCentres[name] = struct{}{}
+	s.own.newCentreAt = s.now
+	if s.own.supersededAt.Equal(s.now) {
+		s.own.supersededAt = time.Time{}
 	}
 }
 
 // Superseded tells since when another process is known to claim this node's
 // ID with a later start. The node should stop.
 func (s *State) Superseded() (time.Time, bool) {
-	return s.own.superseded, !s.own.superseded.IsZero()
+	return s.own.supersededAt, !s.own.supersededAt.IsZero()
 }
 
 // refute answers a claim about this node by a higher record.
@@ -231,12 +231,12 @@
 // what to go above. Unanswered, nobody would believe this node until the
 // tombstones of the former one expire.
 func (s *State) refute(about stamp) {
-	if about.incarnation > s.self.VM.Incarnation && s.young() {
+	if about.incarnation > s.self.VM.Incarnation && s.mayBePredecessor() {
 		s.stats.Refutations++
-		s.changeOwn(about.incarnation+1, true)
+		s.publishOwn(about.incarnation+1, true)
 		return
 	}
-	if about.incarnation != s.self.VM.Incarnation || s.self.stamp().newer(about) || !s.own.superseded.IsZero() {
+	if about.incarnation != s.self.VM.Incarnation || s.self.stamp().newer(about) || !s.own.supersededAt.IsZero() {
 		return
 	}
 	s.stats.Refutations++
@@ -244,5 +244,5 @@
 		s.stats.Refused++ // nobody but us makes sequences
 		return
 	}
-	s.changeOwn(0, true)
+	s.publishOwn(0, true)
 }
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -23,12 +23,12 @@
 
 // pending is a request without an answer yet.
 type pending struct {
-	kind     peerpb.Kind
-	to       string
-	target   string // of a relay
-	centre   *centre
-	syncing  uint32 // key of the data centre of a sync
-	deadline time.Time
+	kind       peerpb.Kind
+	to         string
+	target     string // of a relay
+	centre     *centre
+	syncCentre uint32 // key of the data centre of a sync
+	deadline   time.Time
 }
 
 // State is the membership protocol of one node as a state machine: it has no
@@ -39,94 +39,94 @@
 	now time.Time
 	rnd *rand.Rand
 
-	self   Record
-	key    uint64
-	home   *centre
-	hotOwn int
-	own    own
+	self     Record
+	key      uint64
+	home     *centre
+	ownSends int
+	own      ownRecord
 
-	entries  map[string]*entry // by ID, without this node
-	byKey    map[uint64]*entry
-	centres  map[string]*centre
-	byCentre map[uint32]*centre
-	live     int
-	changes  uint64 // numbers changes, for entry.order
+	entries     map[string]*entry // by ID, without this node
+	byKey       map[uint64]*entry
+	centres     map[string]*centre
+	centreByKey map[uint32]*centre
+	live        int
+	changeCount uint64 // numbers changes, for entry.order
 
-	hot      map[*entry]struct{}
-	urgent   map[*entry]struct{}
-	tell     []*entry // nodes declared dead, to tell the other side of
-	suspects map[*entry]struct{}
+	queued      map[*entry]struct{}
+	urgent      map[*entry]struct{}
+	deadReplies []*entry // nodes declared dead, to tell the other side of
+	suspects    map[*entry]struct{}
 
-	ringCache []*entry
-	fingers   []*entry
-	observers []*entry
+	ringCache    []*entry
+	probeTargets []*entry
+	observers    []*entry
 
-	nextID    uint64
-	pending   map[uint64]pending
-	out       []OutgoingRequest
-	relaying  map[uint64]relay
-	indirect  map[string]*indirect
-	roll      rollCall
-	cycle     []*entry
-	first     []*entry // to be probed before the cycle goes on
-	health    int
-	nextProbe time.Time
-	nextPush  time.Time
-	nextSync  time.Time
-	nextCheck time.Time
-	nextSweep time.Time
-	settled   time.Time // no suspicion is raised before
-	lastTick  time.Time
-	lastOK    time.Time // last direct exchange within the data centre
+	nextID         uint64
+	pending        map[uint64]pending
+	outgoing       []OutgoingRequest
+	relaying       map[uint64]relay
+	indirect       map[string]*indirectProbe
+	sample         healthSample
+	probeRound     []*entry
+	priorityProbes []*entry // to be probed before the cycle goes on
+	health         int
+	nextProbe      time.Time
+	nextPush       time.Time
+	nextSync       time.Time
+	nextCheck      time.Time
+	nextSweep      time.Time
+	graceUntil     time.Time // no suspicion is raised before
+	lastTick       time.Time
+	lastExchange   time.Time // last direct exchange within the data centre
 
 	joinState
 	recall    Recall
 	recalling map[uint64]struct{}
 
-	view      *View
-	viewDirty bool
-	heldDirty bool
-	cutOff    map[string]time.Time
-	exchanges uint64
-	stats     Stats
+	view         *View
+	viewDirty    bool
+	heldDirty    bool
+	cutOff       map[string]time.Time
+	heldMessages uint64
+	stats        Stats
 }
 
 // New returns the state of a node that knows only itself. A zero incarnation
 // in cfg.Self stands for now in Unix milliseconds.
 func New(cfg Config, now time.Time, rnd *rand.Rand) *State {
 	s := &State{
-		cfg:       cfg,
-		now:       now,
-		rnd:       rnd,
-		key:       keyOf(cfg.Self.ID),
-		entries:   map[string]*entry{},
-		byKey:     map[uint64]*entry{},
-		centres:   map[string]*centre{},
-		byCentre:  map[uint32]*centre{},
-		hot:       map[*entry]struct{}{},
-		urgent:    map[*entry]struct{}{},
-		suspects:  map[*entry]struct{}{},
-		pending:   map[uint64]pending{},
-		relaying:  map[uint64]relay{},
-		indirect:  map[string]*indirect{},
-		recalling: map[uint64]struct{}{},
-		cutOff:    map[string]time.Time{},
-		own:       own{met: map[string]struct{}{}},
-		lastTick:  now,
-		lastOK:    now,
-		settled:   now.Add(cfg.SuspicionGrace),
-		nextProbe: now.Add(time.Duration(rnd.Int64N(int64(cfg.ProbeEvery)))),
-		nextSync:  now.Add(time.Duration(rnd.Int64N(int64(cfg.SyncEvery)))),
-		viewDirty: true,
+		cfg:          cfg,
+		now:          now,
+		rnd:          rnd,
+		key:          keyOf(cfg.Self.ID),
+		entries:      map[string]*entry{},
+		byKey:        map[uint64]*entry{},
+		centres:      map[string]*centre{},
+		centreByKey:  map[uint32]*centre{},
+		queued:       map[*entry]struct{}{},
+		urgent:       map[*entry]struct{}{},
+		suspects:     map[*entry]struct{}{},
+		pending:      map[uint64]pending{},
+		relaying:     map[uint64]relay{},
+		indirect:     map[string]*indirectProbe{},
+		recalling:    map[uint64]struct{}{},
+		cutOff:       map[string]time.Time{},
+		own:          ownRecord{knownCentres: map[string]struct{}{}},
+		lastTick:     now,
+		lastExchange: now,
+		graceUntil:   now.Add(cfg.SuspicionGrace),
+		nextProbe:    now.Add(time.Duration(rnd.Int64N(int64(cfg.ProbeEvery)))),
+		nextSync:     now.Add(time.Duration(rnd.Int64N(int64(cfg.SyncEvery)))),
+		viewDirty:    true,
 	}
 	s.self = Record{VM: cfg.Self, Sequence: 1, State: VMAlive}
 	if s.self.VM.Incarnation == 0 {
 		s.self.VM.Incarnation = uint64(max(now.UnixMilli(), 1))
 	}
 	s.home = s.centreOf(cfg.Self.DataCentre, cfg.Self.Region)
-	s.linkOwn()
+	s.toggleOwnHash()
 	s.startJoining()
-	s.heatOwn(false)
+	s.queueOwn(false)
 	return s
 }
 
@@ -146,23 +146,23 @@
 	}
 	s.stats.Pauses++
 	s.lastTick = now
-	s.lastOK = s.lastOK.Add(gap)
-	s.settled = now.Add(s.cfg.SuspicionGrace)
+	s.lastExchange = s.lastExchange.Add(gap)
+	s.graceUntil = now.Add(s.cfg.SuspicionGrace)
 	clear(s.pending)
 	clear(s.relaying)
 	clear(s.indirect)
 	clear(s.recalling)
-	s.roll = rollCall{}
-	s.out = nil
+	s.sample = healthSample{}
+	s.outgoing = nil
 	for e := range s.suspects {
 		e.suspicion.since = e.suspicion.since.Add(gap)
 	}
 	for _, c := range s.centres {
-		c.heard = c.heard.Add(gap)
+		c.lastHeard = c.lastHeard.Add(gap)
 	}
 	s.nextProbe = now
 	s.nextSync = now
-	s.refresh()
+	s.syncAfterPause()
 }
 
 // Tick does what is due and returns the requests to make. It is cheap when
@@ -179,15 +179,15 @@
 	s.tickPush()
 	if !now.Before(s.nextCheck) {
 		s.nextCheck = now.Add(time.Second)
-		s.checkSuspects()
+		s.expireSuspicions()
 		s.checkCutOff()
 	}
 	if !now.Before(s.nextSweep) {
 		s.nextSweep = now.Add(5 * time.Second)
 		s.expire()
 	}
-	out := s.out
-	s.out = nil
+	out := s.outgoing
+	s.outgoing = nil
 	return out
 }
 
@@ -198,7 +198,7 @@
 
 func (s *State) sendAddr(to, addr string, c *centre, m *peerpb.Membership, timeout time.Duration) uint64 {
 	s.nextID++
-	s.sign(m)
+	s.setSender(m)
 	s.pending[s.nextID] = pending{
 		kind:   m.Kind,
 		to:     to,
@@ -208,15 +208,15 @@
 		// never reports, so that pending stays bounded.
 		deadline: s.now.Add(2 * timeout),
 	}
-	s.out = append(s.out, OutgoingRequest{ID: s.nextID, To: to, Addr: addr, Kind: m.Kind, Msg: m, Timeout: timeout})
+	s.outgoing = append(s.outgoing, OutgoingRequest{ID: s.nextID, To: to, Addr: addr, Kind: m.Kind, Msg: m, Timeout: timeout})
 	t := &s.stats.Traffic[m.Kind]
 	t.Sent++
 	t.SentBytes += uint64(proto.Size(m))
 	return s.nextID
 }
 
-// sign says who speaks.
-func (s *State) sign(m *peerpb.Membership) {
+// setSender says who speaks.
+func (s *State) setSender(m *peerpb.Membership) {
 	m.From = s.self.VM.ID
 	m.Incarnation = s.self.VM.Incarnation
 	m.Sequence = s.self.Sequence
@@ -234,7 +234,7 @@
 	}
 	slices.Sort(late) // the same order every run, for tests
 	for _, id := range late {
-		s.failed(id, s.pending[id])
+		s.requestFailed(id, s.pending[id])
 	}
 }
 
@@ -242,7 +242,7 @@
 func (s *State) HandleFailure(now time.Time, id uint64, _ error) {
 	s.advance(now)
 	if p, ok := s.pending[id]; ok {
-		s.failed(id, p)
+		s.requestFailed(id, p)
 	}
 }
 
@@ -251,16 +251,16 @@
 	delete(s.pending, id)
 	delete(s.recalling, id)
 	delete(s.relaying, id)
-	delete(s.roll.waiting, id)
+	delete(s.sample.pending, id)
 }
 
-func (s *State) failed(id uint64, p pending) {
+func (s *State) requestFailed(id uint64, p pending) {
 	_, relayed := s.relaying[id]
 	delete(s.pending, id)
 	delete(s.relaying, id)
-	s.rollAnswer(id, false)
+	s.recordSampleResult(id, false)
 	if e := s.entries[p.to]; e != nil {
-		e.fail = s.now
+		e.lastFailure = s.now
 	}
 	switch p.kind {
 	case peerpb.Kind_KIND_PROBE:
--- a/internal/membership/stats.go
+++ b/internal/membership/stats.go
@@ -2,8 +2,8 @@
 
 import "github.com/marlpass/marlpass/internal/gen/peerpb"
 
-// kinds is the number of message kinds, for arrays indexed by peerpb.Kind.
-const kinds = int(peerpb.Kind_KIND_BRIDGE) + 1
+// messageKinds is the number of message messageKinds, for arrays indexed by peerpb.Kind.
+const messageKinds = int(peerpb.Kind_KIND_BRIDGE) + 1
 
 // Traffic counts messages of one kind. Bytes are those of the encoded message,
 // without what carries it.
@@ -36,7 +36,7 @@
 	DuplicateIDs    uint64 // times another process was seen under this node's ID
 	Health          int    // local health multiplier: 0 is well
 	// Traffic by kind; an answer counts under the kind of its request.
-	Traffic [kinds]Traffic
+	Traffic [messageKinds]Traffic
 }
 
 // Stats returns the counters.
--- a/internal/membership/suspect.go
+++ b/internal/membership/suspect.go
@@ -11,10 +11,10 @@
 
 // suspicion is kept of a node that observers could not reach.
 type suspicion struct {
-	since time.Time
-	about stamp    // what was suspected; a newer record refutes it
-	by    []uint32 // observers, at most Confirmations of them
-	mine  bool     // this node raised it
+	since      time.Time
+	about      stamp    // what was suspected; a newer record refutes it
+	observers  []uint32 // observers, at most Confirmations of them
+	raisedHere bool     // this node raised it
 }
 
 // suspect raises a suspicion by this node's own probe.
@@ -22,25 +22,25 @@
 	if e.rec.State != VMAlive {
 		return
 	}
-	if e.suspicion == nil || !e.suspicion.mine {
+	if e.suspicion == nil || !e.suspicion.raisedHere {
 		s.stats.Suspicions++
 	}
-	s.hold(e, e.rec.stamp(), []uint32{uint32(s.key)})
-	e.suspicion.mine = true
+	s.addSuspicion(e, e.rec.stamp(), []uint32{uint32(s.key)})
+	e.suspicion.raisedHere = true
 }
 
-// hold starts a suspicion or adds observers to it.
-func (s *State) hold(e *entry, about stamp, by []uint32) {
+// addSuspicion starts a suspicion or adds observers to it.
+func (s *State) addSuspicion(e *entry, about stamp, by []uint32) {
 	if e.suspicion == nil {
 		e.suspicion = &suspicion{since: s.now, about: about}
 		s.suspects[e] = struct{}{}
 		e.centre.suspects++
 		e.centre.bridges = nil
-		s.touch(e)
-		s.heatClaim(e)
+		s.invalidateView(e)
+		s.queueClaim(e)
 		s.ring()
-		if slices.Contains(s.fingers, e) && !slices.Contains(s.first, e) {
-			s.first = append(s.first, e) // confirm or refute it soon
+		if slices.Contains(s.probeTargets, e) && !slices.Contains(s.priorityProbes, e) {
+			s.priorityProbes = append(s.priorityProbes, e) // confirm or refute it soon
 		}
 	}
 	sp := e.suspicion
@@ -48,9 +48,9 @@
 		sp.about = about
 	}
 	for _, b := range by {
-		if len(sp.by) < s.cfg.Confirmations && !slices.Contains(sp.by, b) {
-			sp.by = append(sp.by, b)
-			s.heatClaim(e)
+		if len(sp.observers) < s.cfg.Confirmations && !slices.Contains(sp.observers, b) {
+			sp.observers = append(sp.observers, b)
+			s.queueClaim(e)
 		}
 	}
 }
@@ -61,19 +61,19 @@
 	if e.suspicion == nil {
 		return
 	}
-	if e.suspicion.mine && refuted {
+	if e.suspicion.raisedHere && refuted {
 		s.stats.FalseSuspicions++
 	}
 	e.suspicion = nil
-	e.claimHot = 0
+	e.claimSends = 0
 	delete(s.suspects, e)
 	e.centre.suspects--
 	e.centre.bridges = nil
-	s.touch(e)
+	s.invalidateView(e)
 }
 
-// claimed takes a claim from a peer.
-func (s *State) claimed(c *peerpb.Claim, source uint64) {
+// acceptClaim takes a claim from a peer.
+func (s *State) acceptClaim(c *peerpb.Claim, source uint64) {
 	about := stamp{c.GetIncarnation(), c.GetSequence()}
 	if c.GetId() == s.self.VM.ID {
 		s.refute(about)
@@ -84,7 +84,7 @@
 		return
 	}
 	if e.rec.stamp().newer(about) {
-		s.heat(e, 0) // the claim is refuted already: pass on the proof
+		s.queueRecord(e, 0) // the claim is refuted already: pass on the proof
 		return
 	}
 	if len(c.GetBy()) > s.cfg.Confirmations {
@@ -94,13 +94,13 @@
 	switch {
 	case !c.GetDead():
 		if e.rec.State == VMAlive {
-			s.hold(e, about, c.GetBy())
+			s.addSuspicion(e, about, c.GetBy())
 		}
-	case e.rec.State == VMAlive && (s.now.Sub(e.ok) < s.cfg.SuspectMin || s.mostSuspected(e.centre)):
+	case e.rec.State == VMAlive && (s.now.Sub(e.lastExchange) < s.cfg.SuspectMin || s.halfSuspected(e.centre)):
 		// We just spoke with it: ask it again, which lets it refute. Or so
 		// many are silent that it looks like a cut to us, if not to the
 		// sender: keep it.
-		s.hold(e, about, nil)
+		s.addSuspicion(e, about, nil)
 	default:
 		s.declareDead(e, about)
 		e.source = source
@@ -115,24 +115,24 @@
 	}
 	sp := e.suspicion
 	return &peerpb.Claim{
-		Id: e.rec.VM.ID, Incarnation: sp.about.incarnation, Sequence: sp.about.sequence, By: sp.by,
+		Id: e.rec.VM.ID, Incarnation: sp.about.incarnation, Sequence: sp.about.sequence, By: sp.observers,
 	}
 }
 
-// lasts is how long a suspicion waits for a refutation: the more observers,
+// suspicionTimeout is how long a suspicion waits for a refutation: the more observers,
 // the shorter, and the less well we are, the longer.
-func (s *State) lasts(sp *suspicion) time.Duration {
-	share := math.Log(float64(len(sp.by)+1)) / math.Log(float64(s.cfg.Confirmations+1))
+func (s *State) suspicionTimeout(sp *suspicion) time.Duration {
+	share := math.Log(float64(len(sp.observers)+1)) / math.Log(float64(s.cfg.Confirmations+1))
 	span := s.cfg.SuspectMax - s.cfg.SuspectMin
-	return s.patience(s.cfg.SuspectMax - time.Duration(min(share, 1)*float64(span)))
+	return s.scaleTimeout(s.cfg.SuspectMax - time.Duration(min(share, 1)*float64(span)))
 }
 
-// checkSuspects declares dead the nodes whose suspicion ran out. Only a node's own
+// expireSuspicions declares dead the nodes whose suspicion ran out. Only a node's own
 // data centre does so; the others take its word.
-func (s *State) checkSuspects() {
+func (s *State) expireSuspicions() {
 	due := make([]*entry, 0, len(s.suspects))
 	for e := range s.suspects {
-		if e.centre == s.home && s.now.Sub(e.suspicion.since) > s.lasts(e.suspicion) {
+		if e.centre == s.home && s.now.Sub(e.suspicion.since) > s.suspicionTimeout(e.suspicion) {
 			due = append(due, e)
 		}
 	}
@@ -154,13 +154,13 @@
 // when no neighbour was heard, or when too many are suspected to declare them dead.
 func (s *State) checkCutOff() {
 	for _, c := range s.centres {
-		since := c.heard
-		cut := c.live > 0 && s.now.Sub(c.heard) > s.cfg.CutOffAfter
+		since := c.lastHeard
+		cut := c.live > 0 && s.now.Sub(c.lastHeard) > s.cfg.CutOffAfter
 		if c == s.home {
-			since = s.lastOK
-			cut = c.live > 0 && s.now.Sub(s.lastOK) > s.cfg.CutOffAfter
-			if !cut && c.suspects > 1 && s.mostSuspected(c) {
-				since, cut = s.firstSuspected(), true
+			since = s.lastExchange
+			cut = c.live > 0 && s.now.Sub(s.lastExchange) > s.cfg.CutOffAfter
+			if !cut && c.suspects > 1 && s.halfSuspected(c) {
+				since, cut = s.oldestSuspicion(), true
 			}
 		}
 		_, was := s.cutOff[c.name]
@@ -181,8 +181,8 @@
 	}
 }
 
-// mostSuspected tells whether at least half of a data centre is suspected.
-func (s *State) mostSuspected(c *centre) bool {
+// halfSuspected tells whether at least half of a data centre is suspected.
+func (s *State) halfSuspected(c *centre) bool {
 	known := c.live
 	if c == s.home {
 		known++
@@ -190,8 +190,8 @@
 	return c.suspects > 0 && 2*c.suspects >= known
 }
 
-// firstSuspected is when the oldest suspicion in the own data centre began.
-func (s *State) firstSuspected() time.Time {
+// oldestSuspicion is when the oldest suspicion in the own data centre began.
+func (s *State) oldestSuspicion() time.Time {
 	first := s.now
 	for e := range s.suspects {
 		if e.centre == s.home && e.suspicion.since.Before(first) {
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -12,59 +12,59 @@
 
 const bucketShift = 64 - 5
 
-// patientDifferences is how many exchanges in a row have to differ before a
+// minDifferingExchanges is how many exchanges in a row have to differ before a
 // sync: changes on their way make digests differ for a moment all the time.
-const patientDifferences = 2
+const minDifferingExchanges = 2
 
-// compare notes whether an answer showed a difference and repairs a lasting
+// compareDigests notes whether an answer showed a difference and repairs a lasting
 // one.
-func (s *State) compare(peer *entry, m *peerpb.Membership) {
+func (s *State) compareDigests(peer *entry, m *peerpb.Membership) {
 	if peer == nil {
 		return
 	}
-	diff := s.differs(m.GetDigest())
+	diff := s.differingCentres(m.GetDigest())
 	if len(diff) == 0 {
-		peer.different = 0
+		peer.differing = 0
 		return
 	}
-	peer.different++
-	patience, every := patientDifferences, s.cfg.SyncEvery
-	young := s.now.Sub(s.own.joinedAt) < s.cfg.LeavingRetention
-	if young {
+	peer.differing++
+	threshold, every := minDifferingExchanges, s.cfg.SyncEvery
+	joinedRecently := s.now.Sub(s.own.joinedAt) < s.cfg.LeavingRetention
+	if joinedRecently {
 		// Just joined, perhaps along with a whole data centre, this node
 		// lacks more than what is on its way.
-		patience, every = 1, every/5
+		threshold, every = 1, every/5
 	}
-	if peer.different < patience || s.now.Before(s.nextSync) {
+	if peer.differing < threshold || s.now.Before(s.nextSync) {
 		return
 	}
 	s.nextSync = s.now.Add(every)
-	if !young {
-		s.openSync(peer, diff[s.rnd.IntN(len(diff))])
+	if !joinedRecently {
+		s.startSync(peer, diff[s.rnd.IntN(len(diff))])
 		return
 	}
 	// One that a node of the same herd let in may lack whole data centres.
 	for _, key := range diff {
-		s.openSync(peer, key)
+		s.startSync(peer, key)
 	}
 }
 
-func (s *State) openSync(peer *entry, key uint32) {
+func (s *State) startSync(peer *entry, key uint32) {
 	s.stats.Syncs++
 	m := &peerpb.Membership{
 		Kind:       peerpb.Kind_KIND_SYNC,
 		DataCentre: key,
-		Buckets:    s.bucketHashes(s.byCentre[key]),
+		Buckets:    s.bucketHashes(s.centreByKey[key]),
 	}
-	id := s.send(peer, m, s.patience(s.cfg.ProbeTimeout))
+	id := s.send(peer, m, s.scaleTimeout(s.cfg.ProbeTimeout))
 	p := s.pending[id]
-	p.syncing = key
+	p.syncCentre = key
 	s.pending[id] = p
 }
 
 func (s *State) bucketHashes(c *centre) []uint64 {
 	out := make([]uint64, buckets)
-	s.stamps(c, func(key uint64, st stamp) {
+	s.forEachStamp(c, func(key uint64, st stamp) {
 		out[key>>bucketShift] ^= hashStamp(key, st)
 	})
 	return out
@@ -78,20 +78,20 @@
 	}
 	budget := s.cfg.SyncBytes
 	for _, key := range m.GetWant() {
-		budget = s.addByKey(ans, key, budget)
+		budget = s.appendRecord(ans, key, budget)
 	}
 }
 
 func (s *State) answerBuckets(m, ans *peerpb.Membership) {
 	ans.DataCentre = m.GetDataCentre()
-	c := s.byCentre[m.GetDataCentre()]
+	c := s.centreByKey[m.GetDataCentre()]
 	ans.Buckets = s.bucketHashes(c)
 	add := func(key uint64, st stamp) {
 		if b := key >> bucketShift; ans.Buckets[b] != m.GetBuckets()[b] {
 			ans.Stamps = append(ans.Stamps, &peerpb.Stamp{Key: key, Incarnation: st.incarnation, Sequence: st.sequence})
 		}
 	}
-	s.stamps(c, add)
+	s.forEachStamp(c, add)
 }
 
 // continueSync takes the stamps of the other side: it asks for what is newer
@@ -100,13 +100,13 @@
 	if len(m.GetBuckets()) != buckets || peer == nil || m.GetDataCentre() != key {
 		return
 	}
-	c := s.byCentre[key]
+	c := s.centreByKey[key]
 	out := &peerpb.Membership{Kind: peerpb.Kind_KIND_SYNC}
 	theirs := make(map[uint64]stamp, len(m.GetStamps()))
 	for _, p := range m.GetStamps() {
 		st := stamp{p.GetIncarnation(), p.GetSequence()}
 		theirs[p.GetKey()] = st
-		s.wantNewer(out, p.GetKey(), st)
+		s.requestIfNewer(out, p.GetKey(), st)
 	}
 	mine := s.bucketHashes(c)
 	budget := s.cfg.SyncBytes
@@ -114,22 +114,22 @@
 		b := key >> bucketShift
 		other, known := theirs[key]
 		if mine[b] != m.GetBuckets()[b] && (!known || st.newer(other)) && budget > 0 {
-			budget = s.addByKey(out, key, budget)
+			budget = s.appendRecord(out, key, budget)
 		}
 	}
-	s.stamps(c, add)
-	s.tellDead(out)
+	s.forEachStamp(c, add)
+	s.appendDeadReplies(out)
 	if proto.Size(out) > 2 {
-		s.send(peer, out, s.patience(s.cfg.ProbeTimeout))
+		s.send(peer, out, s.scaleTimeout(s.cfg.ProbeTimeout))
 	}
 }
 
-// stamps calls f for every live record of a data centre, which may be unknown.
-func (s *State) stamps(c *centre, f func(key uint64, st stamp)) {
+// forEachStamp calls f for every live record of a data centre, which may be unknown.
+func (s *State) forEachStamp(c *centre, f func(key uint64, st stamp)) {
 	if c == nil {
 		return
 	}
-	s.ordered(c, func(_ int, e *entry) {
+	s.forEachMember(c, func(_ int, e *entry) {
 		if e == nil {
 			f(s.key, s.self.stamp())
 			return
@@ -138,7 +138,7 @@
 	})
 }
 
-func (s *State) wantNewer(out *peerpb.Membership, key uint64, st stamp) {
+func (s *State) requestIfNewer(out *peerpb.Membership, key uint64, st stamp) {
 	if key == s.key {
 		return
 	}
@@ -147,16 +147,16 @@
 	case e == nil:
 		out.Want = append(out.Want, key)
 	case e.dead && !st.newer(e.tombstone):
-		s.answerDead(e)
+		s.queueDeadReply(e)
 	case e.dead || st.newer(e.rec.stamp()):
 		out.Want = append(out.Want, key)
 	}
 }
 
-// refresh asks a few neighbours what happened while this process was paused.
-func (s *State) refresh() {
-	const asked = 3
-	for _, e := range shuffled(s, s.peers(), asked) {
-		s.openSync(e, s.home.key)
+// syncAfterPause asks a few neighbours what happened while this process was paused.
+func (s *State) syncAfterPause() {
+	const syncPeers = 3
+	for _, e := range shuffled(s, s.peers(), syncPeers) {
+		s.startSync(e, s.home.key)
 	}
 }
