--- a/internal/announce/check.go
+++ b/internal/announce/check.go
@@ -7,7 +7,7 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// Bounds of an announcement.
+// Limits of an announcement's fields.
 const (
 	MaxNameLength    = 63
 	MaxVersionLength = 63
@@ -17,9 +17,9 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
 
-// ParseAddress reads the loopback address that a backend server listens on. A
-// node forwards calls to it, so an address elsewhere would turn the node into
-// an open relay.
+// ParseAddress parses the loopback address that a backend server listens on. A node forwards
+// calls to it, so any other address would turn the node into an open relay. The error is a
+// FieldError.
 func ParseAddress(s string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(s)
 	if err != nil {
--- a/internal/announce/departed.go
+++ b/internal/announce/departed.go
@@ -2,24 +2,23 @@
 
 import "slices"
 
-// maxDeparted bounds the instances remembered as gone. One VM has one backend server
-// at a time, and announcements come late by seconds.
+// maxDeparted bounds the departed instances that are remembered. A VM has one backend server at
+// a time, and announcements are late by seconds.
 const maxDeparted = 64
 
-// departedInstances are the last instances that left or were replaced, oldest first,
-// each with the start of its last incarnation that did. Unless all are kept, only
-// those are that tell their start or number their announcements: others may come
-// back under the same name.
+// departedInstances holds the last instances that left or were replaced, oldest first, each with
+// the start of its last departed incarnation. Without keepAll, only instances that report their
+// start or number their announcements are remembered: others may return under the same name.
 type departedInstances struct {
 	list []departedInstance
-	// keepAll keeps those as well of which no announcement has arrived: a node that
-	// started a moment ago hears an instance leave that it never heard announce itself.
+	// keepAll also remembers instances of which no announcement was received: a node that has
+	// just started may receive a withdrawal before any announcement.
 	keepAll bool
 }
 
 type departedInstance struct {
 	name    string
-	started int64 // Unix ms; zero where an instance doesn't come back
+	started int64 // Unix ms; zero if the instance does not return
 }
 
 func (g *departedInstances) add(a Announcement) {
@@ -36,8 +35,7 @@
 	g.list = append(g.list, departedInstance{a.Instance, a.Started})
 }
 
-// has reports whether the incarnation that a tells of has gone, or one that
-// started after it.
+// has reports whether the incarnation that sent a, or one that started after it, has departed.
 func (g *departedInstances) has(a Announcement) bool {
 	at := g.find(a.Instance)
 	return at >= 0 && a.Started <= g.list[at].started
--- a/internal/announce/errors.go
+++ b/internal/announce/errors.go
@@ -8,14 +8,14 @@
 // Errors of the registry.
 var (
 	ErrTooMany = errors.New("announce: too many backend servers on this VM")
-	// ErrStale means that an announcement is older than what is known: it comes
-	// late, or from an instance that has left or was replaced.
-	ErrStale = errors.New("announce: the announcement is older than what is known")
-	// ErrNotLoopback means that a listen address would be open to the network.
+	// ErrStale reports an announcement that is older than the known state: it
+	// arrived late, or its instance has left or was replaced.
+	ErrStale = errors.New("announce: the announcement is older than the known state")
+	// ErrNotLoopback reports a listen address that is reachable from the network.
 	ErrNotLoopback = errors.New("announce: the address is not on loopback")
 )
 
-// FieldError says which field of an announcement is not allowed and why.
+// FieldError reports an invalid field of an announcement and the reason.
 type FieldError struct {
 	Field  string
 	Reason string
--- a/internal/announce/registry.go
+++ b/internal/announce/registry.go
@@ -18,62 +18,62 @@
 	DefaultMaxBackends = 64
 )
 
-// renewalsPerTTL is how often a backend server is asked to renew within one
-// TTL, so that two lost renewals in a row don't end its lease.
+// renewalsPerTTL is the number of renewals requested per TTL, so that two lost renewals in a row
+// do not end a lease.
 const renewalsPerTTL = 3
 
-// Limits bound what a Registry takes in.
+// Limits bound what a Registry accepts.
 type Limits struct {
-	TTL         time.Duration // how long a silent backend server is kept
-	MaxBackends int           // backend servers at once
-	// AllowNonLoopback lets backend servers be reached at other addresses than
-	// loopback, where the platform says which one is theirs.
+	TTL         time.Duration // duration of a lease without renewal
+	MaxBackends int           // backend servers at the same time
+	// AllowNonLoopback accepts backend servers at other addresses than loopback, where the
+	// platform assigns the addresses.
 	AllowNonLoopback bool
-	// NoInstanceReuse says that an instance which left or was replaced comes back only
-	// with a later start, and else under a new name. Its word to leave then binds
-	// also where it is the first that was heard of it.
+	// NoInstanceReuse means that an instance which left or was replaced returns only with a
+	// later start or under a new name. A withdrawal is then remembered even if no announcement
+	// of the instance was received before.
 	NoInstanceReuse bool
 }
 
-// RenewEvery returns how often a backend server should renew.
+// RenewEvery returns the interval at which a backend server should renew its lease.
 func (l Limits) RenewEvery() time.Duration { return l.TTL / renewalsPerTTL }
 
-// Announcement is what a backend server says about itself.
+// Announcement is what a backend server reports about itself.
 type Announcement struct {
 	Instance string
 	Service  string
 	Address  netip.AddrPort
-	Version  string // of its software; empty if it tells none
+	Version  string // of its software; empty if not reported
 	Slots    int
 	State    membership.BackendState
-	Load     int // calls that it runs or queues
-	// Started is when this incarnation of the instance began, in Unix milliseconds;
-	// zero where an instance has a new name after each start.
+	Load     int // calls running or queued
+	// Started is the start of this incarnation of the instance, in Unix milliseconds;
+	// zero where an instance gets a new name with each start.
 	Started int64
-	// Sequence grows with each announcement of an incarnation; zero where the
-	// announcements come in order anyway.
+	// Sequence increases with each announcement of an incarnation; zero where announcements
+	// arrive in order anyway.
 	Sequence uint64
 	// WarmupRemaining is how much longer the backend server is slow after its start.
 	WarmupRemaining time.Duration
 }
 
-// Backend is one backend server under a lease.
+// Backend is a backend server that holds a lease.
 type Backend struct {
 	Announcement
-	// Addr is Address as a string. Every call needs it.
+	// Addr is Address as a string, formatted once because every call needs it.
 	Addr   string
-	LoadAt time.Time // when Load was told
-	// Canary says that it is to get a few calls only, to try its version.
+	LoadAt time.Time // when Load was reported
+	// Canary limits the calls to this backend server while its version is tried out.
 	Canary bool
 	// ReadySince is when it became ready; zero unless State is BackendReady.
 	ReadySince time.Time
 	Expires    time.Time
 }
 
-// ChangeKind says what happened to a backend server.
+// ChangeKind is the kind of a change to a backend server.
 type ChangeKind uint8
 
-// Kinds of change. Renewed is the only one that the mesh need not hear of.
+// Kinds of change. All except Renewed are published to the mesh.
 const (
 	Renewed ChangeKind = iota + 1
 	Added
@@ -92,7 +92,7 @@
 	Expired:   "expired",
 }
 
-// String returns the kind in a word.
+// String returns the name of the kind.
 func (k ChangeKind) String() string {
 	if name, ok := changeNames[k]; ok {
 		return name
@@ -103,15 +103,16 @@
 // Change is one change of the registry.
 type Change struct {
 	Kind    ChangeKind
-	Backend Backend // as it is now, or as it last was when it is gone
-	// PreviousState is the state before, of a backend server that was known.
+	Backend Backend // current state, or the last one if it was removed
+	// PreviousState is the state before the change; zero for a backend server that was not
+	// known.
 	PreviousState membership.BackendState
 }
 
-// ChangesRecord reports whether the node's record in the mesh has to be raised.
+// ChangesRecord reports whether the change has to be published in the node's membership record.
 func (c Change) ChangesRecord() bool { return c.Kind != Renewed }
 
-// RecordChanges returns those changes that the mesh has to hear of.
+// RecordChanges returns the changes that have to be published in the node's membership record.
 func RecordChanges(all []Change) []Change {
 	var out []Change
 	for _, c := range all {
@@ -122,10 +123,10 @@
 	return out
 }
 
-// Registry holds the backend servers of one VM.
+// Registry holds the backend servers of one VM. It is safe for concurrent use.
 type Registry struct {
 	limits Limits
-	list   atomic.Pointer[[]Backend] // by instance; never changed once stored
+	list   atomic.Pointer[[]Backend] // ordered by instance; immutable once stored
 
 	mu        sync.Mutex // serialises writers
 	lastSweep time.Time
@@ -141,22 +142,21 @@
 	return r
 }
 
-// Limits returns what the registry was made with.
+// Limits returns the limits of the registry.
 func (r *Registry) Limits() Limits { return r.limits }
 
-// Load returns the backend servers ordered by instance. Callers must not
-// change the list.
+// Load returns the backend servers ordered by instance. Callers must not modify the list.
 func (r *Registry) Load() []Backend { return *r.list.Load() }
 
-// CountRefused counts an announcement that could not be read or named something
-// that is not there.
+// CountRefused counts an announcement that could not be decoded or that referred to something
+// unknown.
 func (r *Registry) CountRefused() { r.refused.Add(1) }
 
-// Refused returns how many announcements were refused as such.
+// Refused returns the number of announcements counted by CountRefused.
 func (r *Registry) Refused() uint64 { return r.refused.Load() }
 
-// Put announces a backend server or renews its lease. It returns what changed,
-// which includes any backend server that the new one took the place of.
+// Put adds a backend server or renews its lease. It returns the changes, including any backend
+// server that the new one replaced. The error is a FieldError, ErrStale or ErrTooMany.
 func (r *Registry) Put(now time.Time, a Announcement) ([]Change, error) {
 	if err := validate(a, r.limits); err != nil {
 		return nil, err
@@ -188,12 +188,11 @@
 	return append(changes, Change{Kind: kind, Backend: b, PreviousState: was}), nil
 }
 
-// evictAtAddress returns a copy of the list less any other instance at the address.
+// evictAtAddress returns a copy of the list without any other instance at the address.
 //
-// It guards against a backend server that crashed and came back under another
-// instance name before its old lease ran out. Both entries would lead to the
-// same process, and its slots would count twice. Only one process can listen on
-// an address, so the newer announcement is the true one.
+// It guards against a backend server that crashes and returns under another instance name before
+// its old lease expires. Both entries would lead to the same process, and its slots would count
+// twice. Only one process can listen on an address, so the newer announcement is the valid one.
 func (r *Registry) evictAtAddress(address netip.AddrPort, instance string) ([]Backend, []Change) {
 	list := make([]Backend, 0, len(r.Load())+1)
 	var gone []Change
@@ -208,9 +207,9 @@
 	return list, gone
 }
 
-// classifyChange tells how an announcement differs from the one before. Another start,
-// address or service under the same instance is another backend server: what
-// was known of the old one, such as its being warm, does not hold for it.
+// classifyChange returns how an announcement differs from the previous one. Another start,
+// address, service or version under the same instance is another backend server, to which the
+// state of the old one, such as its warm-up, does not apply.
 func classifyChange(old Backend, a Announcement) ChangeKind {
 	restarted := old.Started != 0 && old.Started != a.Started
 	switch {
@@ -232,20 +231,21 @@
 	return now
 }
 
-// Withdrawal names the backend server that leaves.
+// Withdrawal identifies the backend server that leaves.
 type Withdrawal struct {
 	Instance string
-	// Address, if valid, must be the one that the backend server has.
+	// Address, if valid, must match that of the backend server.
 	Address netip.AddrPort
-	// Started is when the incarnation that leaves began; zero where it is not told.
+	// Started is the start of the leaving incarnation, in Unix milliseconds; zero if
+	// not reported.
 	Started int64
 }
 
-// Withdraw removes a backend server.
+// Withdraw removes a backend server and returns the change, if any.
 //
-// Address and Started guard against a late withdrawal: a backend server restarts
-// under the same instance, and the old process withdraws last. Without them the new
-// one would vanish until its next renewal.
+// Address and Started guard against a late withdrawal: a backend server restarts under the same
+// instance, and the old process withdraws last. Without them the new one would disappear until
+// its next renewal.
 func (r *Registry) Withdraw(w Withdrawal) []Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -257,8 +257,8 @@
 	}
 	r.departed.add(list[at].Announcement)
 	if w.Started > list[at].Started {
-		// The one that leaves has begun after the one that is known, and none of
-		// its announcements arrived.
+		// The leaving incarnation started after the known one, and none of its
+		// announcements arrived.
 		r.departed.add(Announcement{Instance: w.Instance, Started: w.Started})
 	}
 	if w.Address.IsValid() && list[at].Address != w.Address {
@@ -269,13 +269,12 @@
 	return []Change{{Kind: Withdrawn, Backend: gone, PreviousState: gone.State}}
 }
 
-// Expire removes the backend servers whose lease has run out. Call it at least
-// twice within a TTL.
+// Expire removes the backend servers whose lease has expired and returns the changes. Call it at
+// least twice per TTL.
 //
-// It guards against a pause of the node itself. While the node stands still no
-// renewal can arrive, and on its return every lease would seem to have run out
-// although every backend server is well. A long gap between two calls shows the
-// pause; all leases then start anew.
+// It guards against a pause of the node itself. No renewal can arrive while the node is paused,
+// so afterwards every lease would appear expired although every backend server is healthy. A
+// long gap between two calls indicates a pause, and all leases then start anew.
 func (r *Registry) Expire(now time.Time) []Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -300,23 +299,23 @@
 	return gone
 }
 
-// rememberDraining remembers a backend server that fell silent while it drained.
+// rememberDraining remembers a backend server whose lease expired while it drained.
 //
-// It guards against its late heartbeats. With its lease its number was forgotten, and
-// one that a cut had held up since before the drain would put it back into service.
+// It guards against late heartbeats. The sequence is dropped with the lease, so a heartbeat sent
+// before the drain and delayed by a partition would put the backend server back into service.
 func (r *Registry) rememberDraining(b Backend) {
 	if b.State == membership.BackendDraining {
 		r.departed.add(b.Announcement)
 	}
 }
 
-// stale reports whether an announcement is older than what is known of its instance
-// or of its address, where only one process can listen.
+// stale reports whether an announcement is older than what is known of its instance, or of its
+// address, where only one process can listen.
 //
-// It guards against announcements that a cut held up. One of an incarnation that
-// has left, or whose address another has taken, would bring it back, and calls
-// would be sent to a backend server that is no longer there; one that was sent
-// before "draining" would put the instance back into service.
+// It guards against announcements that a partition delayed. One from an incarnation that has
+// left, or whose address was taken over, would bring it back, and calls would be sent to a
+// backend server that is gone; one sent before "draining" would put the instance back into
+// service.
 func (r *Registry) stale(a Announcement) bool {
 	if r.departed.has(a) {
 		return true
@@ -343,7 +342,7 @@
 	})
 }
 
-// MembershipBackends returns the backend servers as the node's record tells of them.
+// MembershipBackends converts the backend servers for the node's membership record.
 func MembershipBackends(list []Backend) []membership.Backend {
 	out := make([]membership.Backend, len(list))
 	for i, b := range list {
--- a/internal/announce/server.go
+++ b/internal/announce/server.go
@@ -13,11 +13,10 @@
 	"github.com/marlpass/marlpass/internal/problem"
 )
 
-// MaxBodyBytes is the size in bytes of the largest body that the API reads.
+// MaxBodyBytes is the maximum size of a request body.
 const MaxBodyBytes = 4 << 10
 
-// sweepsPerTTL is how often Run looks for leases that have run out within one
-// TTL.
+// sweepsPerTTL is how often per TTL Run checks for expired leases.
 const sweepsPerTTL = 8
 
 // Server serves the announce API over a Registry.
@@ -27,15 +26,15 @@
 	onChange func([]Change)
 }
 
-// NewServer returns a server over r. It calls onChange, from the goroutine that
-// made the change and with no lock held, after every change that the mesh has
-// to hear of. Two calls may cross, so onChange takes the state from
-// Registry.Load, which holds the change by then, and not from its argument.
+// NewServer returns a server over r. It calls onChange after every change that has to be
+// published to the mesh, from the goroutine that made the change and with no lock held. Calls
+// may arrive out of order, so onChange must take the state from Registry.Load, which already
+// includes the change, and not from its argument.
 func NewServer(r *Registry, now func() time.Time, onChange func([]Change)) *Server {
 	return &Server{registry: r, now: now, onChange: onChange}
 }
 
-// Handler returns the HTTP side of the API.
+// Handler returns the HTTP handler of the API.
 func (s *Server) Handler() (http.Handler, error) {
 	h, err := announceapi.NewServer(handler{s}, announceapi.WithPathPrefix("/v1"),
 		announceapi.WithErrorHandler(s.handleDecodeError))
@@ -45,7 +44,7 @@
 	return http.MaxBytesHandler(h, MaxBodyBytes), nil
 }
 
-// Run expires silent backend servers until ctx is done.
+// Run removes expired backend servers until ctx is done.
 func (s *Server) Run(ctx context.Context) {
 	ticker := time.NewTicker(s.registry.Limits().TTL / sweepsPerTTL)
 	defer ticker.Stop()
@@ -59,15 +58,15 @@
 	}
 }
 
-// notify passes on the changes that the mesh has to hear of.
+// notify reports the changes that have to be published to the mesh.
 func (s *Server) notify(all []Change) {
 	if visible := RecordChanges(all); len(visible) > 0 {
 		s.onChange(visible)
 	}
 }
 
-// Listen opens the API's listener. It refuses an address that is not on
-// loopback, since the API asks for no token.
+// Listen opens the listener of the API. It returns ErrNotLoopback for an address that is not on
+// loopback, since the API does not authenticate its clients.
 func Listen(address string) (net.Listener, error) {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil || !a.Addr().Unmap().IsLoopback() {
@@ -155,7 +154,7 @@
 	return announceapi.StateStarting
 }
 
-// NewError turns an error of this package into a problem document.
+// NewError converts an error of this package to a problem document.
 func (h handler) NewError(_ context.Context, err error) *announceapi.ProblemStatusCode {
 	var field *FieldError
 	switch {
@@ -179,7 +178,7 @@
 	return &announceapi.ProblemStatusCode{StatusCode: status, Response: p}
 }
 
-// handleDecodeError answers a request that never reached the handler.
+// handleDecodeError answers a request that could not be decoded.
 func (s *Server) handleDecodeError(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 	p := handler{s}.NewError(ctx, err)
 	body, err := p.Response.MarshalJSON()
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -2,78 +2,77 @@
 
 import "time"
 
-// Config holds the settings of a State. Take DefaultConfig and change what
-// differs; every field has to be set.
+// Config holds the settings of a State. Start from DefaultConfig and change what
+// differs; no field has a default for its zero value.
 type Config struct {
 	Self VM
-	// Seeds are control addresses to ask when the platform tells of none.
+	// Seeds are control addresses to join through, besides the platform's contacts.
 	Seeds []string
 
 	ProbeEvery      time.Duration // between two probes by this node
-	ProbeTimeout    time.Duration // of a probe, before relays are asked
-	IndirectTimeout time.Duration // of the relays' attempts together
-	Relays          int           // asked for one indirect probe
+	ProbeTimeout    time.Duration // of a probe, before indirect probes start
+	IndirectTimeout time.Duration // of all indirect probes of a node together
+	Relays          int           // relays per indirect probe
 
-	SuspectMin       time.Duration // from suspicion to death, fully confirmed
-	SuspectMax       time.Duration // the same, unconfirmed
-	Confirmations    int           // observers that make a suspicion fully confirmed
+	SuspectMin       time.Duration // suspicion timeout when fully confirmed
+	SuspectMax       time.Duration // suspicion timeout when unconfirmed
+	Confirmations    int           // observers that fully confirm a suspicion
 	DeathSampleSize  int           // random nodes probed before a death is declared
-	DeathSampleEvery time.Duration // between two of these samples, when the first says no
+	DeathSampleEvery time.Duration // between two samples, if the first one shows no healthy majority
 
-	Bridges                int           // nodes of a data centre that speak with others
-	BridgeEvery            time.Duration // between exchanges with a data centre of the region
-	CrossRegionBridgeEvery time.Duration // the same, of another region
+	Bridges                int           // nodes per data centre that exchange gossip with other data centres
+	BridgeEvery            time.Duration // between exchanges with a data centre of the same region
+	CrossRegionBridgeEvery time.Duration // the same for another region
 
-	MessageBytes      int           // records and claims on one probe message
-	SyncBytes         int           // records on one sync message
-	SyncEvery         time.Duration // least time between syncs that this node opens
-	RetransmitFactor  int           // a change rides on RetransmitFactor·log2(n) messages
-	PushFanout        int           // peers that are told at once of an urgent change
-	PushEvery         time.Duration // least time between two rounds of pushes
-	PushAllChanges    bool          // any change of backend servers is pushed, not just fewer of them
-	RecordUpdateEvery time.Duration // least time between lazy changes to the own record
+	MessageBytes      int           // bytes of records and claims per message; more between bridges
+	SyncBytes         int           // bytes of records per sync message
+	SyncEvery         time.Duration // minimum time between syncs that this node starts
+	RetransmitFactor  int           // a change is sent on RetransmitFactor·log2(n) messages
+	PushFanout        int           // peers that an urgent change is pushed to
+	PushEvery         time.Duration // minimum time between two rounds of pushes
+	PushAllChanges    bool          // push every change of backend servers, not only removals
+	RecordUpdateEvery time.Duration // minimum time between non-urgent updates of the own record
 
-	CutOffAfter        time.Duration // silence after which a data centre is cut off
+	CutOffAfter        time.Duration // silence after which a data centre counts as cut off
 	ForgetAfter        time.Duration // silence after which its records are dropped
-	LeavingRetention   time.Duration // how long a leaving record is kept
-	TombstoneRetention time.Duration // how long a dead record's stamp is kept
-	PauseGap           time.Duration // gap between ticks taken for a pause of this process
-	SuspicionGrace     time.Duration // after a pause or start, no suspicion is raised
+	LeavingRetention   time.Duration // how long the record of a leaving node is kept
+	TombstoneRetention time.Duration // how long the tombstone of a dead node is kept
+	PauseGap           time.Duration // gap between ticks treated as a pause of this process
+	SuspicionGrace     time.Duration // after a start, join or pause, during which no suspicion is raised
 
-	JoinBackoff    time.Duration // first bound of the full jitter between joins
-	JoinBackoffMax time.Duration // last bound of it
-	JoinsPerSecond float64       // full states served
-	JoinBurst      float64       // full states served back to back
-	AloneAfter     time.Duration // without an answer, a node counts as the first
-	RecallTimeout  time.Duration // until peers' answers to a recall count as lost
-	// WriteContactEarly makes a node that starts write its row of contacts
-	// before it has joined, and read those of others until it has.
+	JoinBackoff    time.Duration // first bound of the full jitter between join attempts
+	JoinBackoffMax time.Duration // largest bound of the jitter
+	JoinsPerSecond float64       // full states served per second, as a token bucket
+	JoinBurst      float64       // size of the token bucket
+	AloneAfter     time.Duration // without an answer, a node counts as the first of the mesh
+	RecallTimeout  time.Duration // timeout of a recall request
+	// WriteContactEarly makes a starting node write its contact row before it
+	// has joined, and read the rows of other nodes until it has.
 	WriteContactEarly bool
 
 	Limits Limits
 }
 
-// Limits bound what a peer can make this node hold. What is above a limit is
-// refused and counted.
+// Limits bound the memory that peers can make this node use. Input over a limit
+// is refused and counted.
 type Limits struct {
 	Records        int // live records and tombstones together
-	Backends       int // of one record
-	Notices        int // of one record
+	Backends       int // per record
+	Notices        int // per record
 	StringBytes    int // bytes of any string
 	FullStateBytes int // bytes of a decompressed full state
 	Relays         int // relay probes under way for others
-	Contacts       int // addresses remembered for joining
+	Contacts       int // contacts kept for joining
 }
 
-// FastConvergence returns cfg with the times of a mesh that has no seeds and must be whole
-// within seconds of its start, and whose nodes carry no version of the history
-// that being alone could harm.
+// FastConvergence returns cfg with the timings for a mesh that has no seeds, has to be complete
+// within seconds of its start, and whose nodes keep no configuration history that a node could
+// damage by starting alone.
 //
-// Nodes find each other by the platform's contact rows alone, so a starting one
-// writes its row at once and is alone early: where all start together, one has
-// to be the first. Probes go out twice as often, which halves the time until a
-// node that is gone is suspected; a mesh of some hundred nodes spends about 1 KB/s
-// a node on them.
+// Nodes find each other only through the platform's contact rows, so a starting node writes its
+// row at once and soon counts as the first of the mesh: if all start together, one of them has
+// to be the first. Probing twice as often as by default halves the time until a failed node is
+// suspected; a mesh of some hundred nodes spends about 1 KB/s per node on it.
 func FastConvergence(cfg Config) Config {
 	cfg.PushAllChanges = true
 	cfg.WriteContactEarly = true
@@ -92,7 +91,7 @@
 	return cfg
 }
 
-// DefaultConfig returns the settings for the mesh of 1,200 nodes.
+// DefaultConfig returns the settings for a mesh of 1,200 nodes.
 func DefaultConfig(self VM) Config {
 	return Config{
 		Self:                   self,
--- a/internal/membership/death_sample.go
+++ b/internal/membership/death_sample.go
@@ -6,14 +6,13 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// healthSample is a sample of the own data centre, taken before a death is declared.
+// healthSample is a sample of the home data centre, probed before a death is declared.
 //
-// It guards against a cut of the network, or the loss of most of a data centre,
-// that looks like the death of single nodes: their endpoints would be forgotten
-// although they may be reachable for calls, or come back unchanged. Counting
-// suspects does not show it, as probes find the silent nodes one after the
-// other, and the first is due before the last is found. A fresh sample of the
-// nodes that nobody suspects yet does show it.
+// It guards against a partition, or the loss of most of a data centre, that looks like the death
+// of single nodes: their endpoints would be dropped although they may be reachable for calls or
+// come back unchanged. Counting suspects does not detect this, because probes find the silent
+// nodes one after the other, and the first suspicion times out before the last is raised. A
+// fresh sample of the nodes that are not suspected does.
 type healthSample struct {
 	pending   map[uint64]struct{}
 	probed    int
@@ -21,11 +20,11 @@
 	startedAt time.Time
 }
 
-// sampleTTL is how long a sample counts.
+// sampleTTL is how long a sample is valid.
 const sampleTTL = 5 * time.Second
 
-// mayDeclareDead tells whether more than half of the own data centre is well. It
-// takes a sample first, so at first it says no.
+// mayDeclareDead reports whether more than half of the home data centre is alive. The first call
+// starts a sample and returns false.
 func (s *State) mayDeclareDead() bool {
 	if s.halfSuspected(s.home) {
 		return false
@@ -39,7 +38,7 @@
 	return len(r.pending) == 0 && age <= sampleTTL && s.sampleShowsMajorityAlive()
 }
 
-// sampleShowsMajorityAlive judges the sample: the share that answered stands for all nodes
+// sampleShowsMajorityAlive extrapolates the sample: the share that answered stands for all nodes
 // that are not suspected.
 func (s *State) sampleShowsMajorityAlive() bool {
 	r := &s.sample
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -7,36 +7,36 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// entry is all that this node keeps of another one.
+// entry is the state that this node keeps of another node.
 type entry struct {
 	key          uint64
 	rec          Record
 	centre       *centre
-	updatedAt    time.Time // when something new was learned of it
-	lastExchange time.Time // last direct exchange
-	lastFailure  time.Time // last direct failure
+	updatedAt    time.Time // last newer record
+	lastExchange time.Time // last successful direct exchange
+	lastFailure  time.Time // last failed request to it
 
 	dead      bool
-	tombstone stamp // what was declared dead; only a newer record revives it
+	tombstone stamp // the stamp declared dead; only a newer record revives the node
 	deadAt    time.Time
 
 	suspicion *suspicion
 	leavingAt time.Time
 
-	recordSends  int    // messages that still carry the record
-	claimSends   int    // messages that still carry a claim about it
-	changeNumber uint64 // larger for what changed later
-	pushedStamp  stamp  // what this node has last passed on as urgent
+	recordSends  int    // remaining messages to carry the record
+	claimSends   int    // remaining messages to carry the claim about it
+	changeNumber uint64 // larger for later changes
+	pushedStamp  stamp  // last record that this node pushed on
 	source       uint64 // key of the peer that the change came from
-	differing    int    // exchanges with it in a row at which digests differed
+	differing    int    // consecutive exchanges in which digests differed
 
 	heldVersion uint64 // highest version that this incarnation was seen to hold
 	priorHeld   uint64 // highest version that any earlier one was seen to hold
 
-	published *ObservedRecord // nil when the view has to be told anew
+	published *ObservedRecord // cached for the view; nil when out of date
 }
 
-// centre is all that this node keeps of a data centre.
+// centre is the state that this node keeps of a data centre.
 type centre struct {
 	name      string
 	key       uint32
@@ -48,15 +48,15 @@
 
 	suspects int // of the live ones
 
-	members []*entry // live, by key; nil when out of date
-	bridges []*entry // nil with members
+	members []*entry // live, ordered by key; nil when out of date
+	bridges []*entry // nil when out of date
 
-	startsSeen     int // new incarnations seen in it
-	startsReported int // those at home that an exchange with it has told of
+	startsSeen     int // new incarnations observed in it
+	startsReported int // startsSeen of the home data centre at the last exchange with it
 
 	heldSends    int
 	nextExchange time.Time
-	failures     int // exchanges with it that failed in a row
+	failures     int // consecutive failed exchanges with it
 }
 
 func (s *State) centreOf(name, region string) *centre {
@@ -70,7 +70,8 @@
 	return c
 }
 
-// addLive and unlink keep what is derived from live records: digests and rings.
+// addLive and removeLive maintain what is derived from live records: digests, counts and member
+// lists.
 func (s *State) addLive(e *entry) {
 	c := s.centreOf(e.rec.VM.DataCentre, e.rec.VM.Region)
 	e.centre = c
@@ -91,7 +92,7 @@
 	s.invalidateMembers(c)
 }
 
-// invalidateMembers drops what was derived from the members of a data centre.
+// invalidateMembers drops what is derived from the members of a data centre.
 func (s *State) invalidateMembers(c *centre) {
 	c.members, c.bridges = nil, nil
 	if c == s.home {
@@ -99,13 +100,14 @@
 	}
 }
 
-// invalidateView marks that the view is out of date in e.
+// invalidateView marks the view as out of date in e.
 func (s *State) invalidateView(e *entry) {
 	e.published = nil
 	s.viewDirty = true
 }
 
-// accept takes a record from a peer. It reports whether it was news.
+// accept merges a record from a peer. It reports whether the record was newer than the known
+// one.
 func (s *State) accept(p *peerpb.Record, source uint64) bool {
 	if !s.cfg.Limits.validRecord(p) {
 		s.stats.Refused++
@@ -142,7 +144,7 @@
 	return true
 }
 
-// replaceRecord puts a newer record of a node in force.
+// replaceRecord replaces the record of a node by a newer one.
 func (s *State) replaceRecord(e *entry, r Record) {
 	if r.VM.Incarnation != e.rec.VM.Incarnation {
 		e.priorHeld = max(e.priorHeld, e.heldVersion)
@@ -165,7 +167,7 @@
 	}
 }
 
-// queueRecord makes a changed record ride on the next messages.
+// queueRecord queues a changed record for the next messages.
 func (s *State) queueRecord(e *entry, source uint64) {
 	s.changeCount++
 	e.changeNumber = s.changeCount
@@ -174,7 +176,7 @@
 	s.queued[e] = struct{}{}
 }
 
-// queueClaim does the same for the claims about a node.
+// queueClaim queues the claim about a node for the next messages.
 func (s *State) queueClaim(e *entry) {
 	s.changeCount++
 	e.changeNumber = s.changeCount
@@ -182,7 +184,7 @@
 	s.queued[e] = struct{}{}
 }
 
-// declareDead takes a node for dead.
+// declareDead replaces a node's record by a tombstone and queues the claim.
 func (s *State) declareDead(e *entry, about stamp) {
 	s.removeLive(e)
 	s.clearSuspicion(e, false)
@@ -195,15 +197,16 @@
 	s.queueClaim(e)
 }
 
-// queueDeadReply has the next message of this exchange say that e is dead, so
-// that the sender drops it, or, being its owner, comes back with a new record.
+// queueDeadReply adds a death claim for e to the next message of this exchange, so that the peer
+// drops e, or, if it is e itself, publishes a higher record.
 func (s *State) queueDeadReply(e *entry) {
 	if !slices.Contains(s.deadReplies, e) {
 		s.deadReplies = append(s.deadReplies, e)
 	}
 }
 
-// expire drops what is kept for a time only.
+// expire drops tombstones, leaving nodes, records of data centres silent for ForgetAfter, and
+// empty data centres when their time is over.
 func (s *State) expire() {
 	for id, e := range s.entries {
 		switch {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -11,18 +11,19 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// retransmitLimit is the number of messages that a change rides on.
+// retransmitLimit returns the number of messages that a change is sent on.
 func (s *State) retransmitLimit() int {
 	n := max(s.home.live+1, len(s.centres)*s.cfg.Bridges)
 	return s.cfg.RetransmitFactor * bits.Len(uint(n))
 }
 
-// centresInSync takes the digest of a request: what is hot in a data centre of which
-// the sender holds the same records need not be told to it. That counts as told.
+// centresInSync returns the data centres for which the digest of a request shows that the sender
+// holds the same records. Queued records of these need not be sent to it, and each of them
+// counts as sent once.
 //
-// After the start of a whole mesh every record is hot on every node. Told by
-// 1,200 bytes a message to peers that have long had them, 240 records filled
-// every message of the next six minutes.
+// After the start of a whole mesh every record is queued on every node. Sent at 1,200 bytes per
+// message to peers that already hold them, 240 records filled every message for the next six
+// minutes.
 func (s *State) centresInSync(digest []byte) (known map[*centre]bool) {
 	known = make(map[*centre]bool)
 	for _, d := range parseDigest(digest) {
@@ -44,13 +45,13 @@
 	return known
 }
 
-// piggyback puts what is hot on a message, the newest first, up to MessageBytes. One
-// record goes on even when it alone is larger. Records of the data centres in
-// known are left out.
+// piggyback adds queued records and claims to a message, newest first, up to messageBudget. It
+// adds one record even if that one alone exceeds the budget, and none of the data centres in
+// known.
 func (s *State) piggyback(m *peerpb.Membership, to string, known map[*centre]bool) {
 	s.piggybackHeld(m)
 	if e := s.entries[to]; e != nil && e.suspicion != nil {
-		m.Claims = append(m.Claims, s.encodeClaim(e)) // so that it can refute
+		m.Claims = append(m.Claims, s.encodeClaim(e)) // lets it refute the suspicion
 	}
 	budget := s.messageBudget(m.Kind)
 	if s.ownSends > 0 && !known[s.home] {
@@ -84,17 +85,17 @@
 	}
 }
 
-// startBurst is the number of nodes of one data centre that start at about the same
-// time, from which on the other data centres are told at once. A herd that
-// comes back would otherwise be known in the other region only after two of
-// its slow exchanges, and there to all only after as many probes as its records
-// fill.
+// startBurst is the number of nodes started in the home data centre since the last exchange with
+// another one, from which on that exchange is brought forward. Without it, a mass restart
+// reaches the other region only after two of its slow exchanges, and all nodes there only after
+// as many probes as its records fill.
 const startBurst = 4
 
-// burstExchangeWindow spreads the exchanges that a burst brings forward.
+// burstExchangeWindow is the time over which the exchanges that a burst brings forward are
+// spread.
 const burstExchangeWindow = 2 * time.Second
 
-// expediteExchange brings the next exchange with c forward after a burst at home.
+// expediteExchange brings the next exchange with c forward after a burst of starts at home.
 func (s *State) expediteExchange(c *centre) {
 	soon := s.now.Add(burstExchangeWindow)
 	if s.home.startsSeen-c.startsReported >= startBurst && c.nextExchange.After(soon) {
@@ -102,14 +103,14 @@
 	}
 }
 
-// bridgeMessageFactor is how many times MessageBytes a message between bridges may have.
+// bridgeMessageFactor multiplies MessageBytes for messages between bridges.
 const bridgeMessageFactor = 12
 
-// messageBudget is the number of bytes that a message has for records and claims.
+// messageBudget returns the number of bytes for records and claims on a message.
 //
-// A rack or a data centre that comes back changes dozens of records at once. By
-// MessageBytes alone, ten of them cross to another data centre with each
-// exchange of two bridges, and those are seconds apart.
+// A rack or a data centre that comes back changes dozens of records at once. With MessageBytes
+// alone, only ten of them reach another data centre per bridge exchange, and these are seconds
+// apart.
 func (s *State) messageBudget(k peerpb.Kind) int {
 	if k == peerpb.Kind_KIND_BRIDGE {
 		return bridgeMessageFactor * s.cfg.MessageBytes
@@ -126,8 +127,8 @@
 	return list
 }
 
-// digest tells the hash of each data centre's records and the age of the last
-// word from it.
+// digest encodes, for each data centre, the hash of its records and the age of the last message
+// from it.
 func (s *State) digest() []byte {
 	var out []byte
 	for _, c := range s.sortedCentres() {
@@ -140,8 +141,8 @@
 	return out
 }
 
-// differingCentres returns the keys of the data centres of which the two sides hold
-// different records. The hash of one that a side does not know is zero.
+// differingCentres returns the keys of the data centres of which both sides hold different
+// records. A data centre unknown to a side has hash zero.
 func (s *State) differingCentres(digest []byte) []uint32 {
 	if len(digest) == 0 {
 		return nil
@@ -163,7 +164,8 @@
 	return out
 }
 
-// mergeAges learns from the sender how lately each data centre was heard.
+// mergeAges takes over from a digest the time of the last message from each data centre where
+// the sender's is more recent.
 func (s *State) mergeAges(m *peerpb.Membership) {
 	for _, d := range parseDigest(m.GetDigest()) {
 		c := s.centreByKey[d.key]
@@ -176,12 +178,11 @@
 	}
 }
 
-// maxPushBytes bounds the bytes of records on one urgent message.
+// maxPushBytes bounds the records on one push message, in bytes.
 const maxPushBytes = 16 << 10
 
-// tickPush tells urgent changes to a few peers. Whoever learns something from
-// such a message passes it on the same way, so it reaches nearly every node in
-// log(n) steps; the next probes bring it to the rest.
+// tickPush pushes urgent changes to a few peers. A node that learns something from a push pushes
+// it on, so it reaches nearly every node in log(n) steps; the next probes bring it to the rest.
 func (s *State) tickPush() {
 	if (len(s.urgent) == 0 && !s.own.urgent) || s.now.Before(s.nextPush) {
 		return
@@ -225,16 +226,16 @@
 	return out
 }
 
-// bridgePushers is how many nodes of a data centre pass a change on to a bridge, beside the one that
-// it is about.
+// bridgePushers is the expected number of nodes of a data centre that push a change to its
+// bridges, besides the node that the change is about.
 const bridgePushers = 4
 
-// pushTargets are random neighbours and the bridges of the own data centre;
-// bridges tell one bridge of every other data centre.
+// pushTargets returns random neighbours and bridges of the home data centre; a bridge adds one
+// bridge of every other data centre.
 //
-// Every node passes each change on once. Did all of them tell the bridges, these would get
-// each change as often as their data centre has nodes, and most of them are small VMs. So the
-// node that a change is about tells them, and a few of the others.
+// Every node pushes each change once. If all of them pushed to the bridges, these would receive
+// each change as often as their data centre has nodes, and most of them are small VMs. So only
+// the node that a change is about and a few others include the bridges.
 func (s *State) pushTargets(own bool) []*entry {
 	pushToBridges := own || s.rnd.IntN(max(len(s.sortedMembers(s.home)), 1)) < bridgePushers
 	out := shuffled(s, s.peers(), s.cfg.PushFanout)
@@ -263,8 +264,7 @@
 	return out
 }
 
-// tickBridges exchanges with the bridges of other data centres, if this node
-// is one.
+// tickBridges exchanges gossip with the bridges of other data centres, if this node is a bridge.
 func (s *State) tickBridges() {
 	if s.self.State != VMAlive || !s.isBridge() {
 		return
@@ -281,7 +281,7 @@
 		if c.region != s.home.region {
 			every = s.cfg.CrossRegionBridgeEvery
 		}
-		// Between half and one and a half periods: bridges do not fall in step.
+		// Between 0.5 and 1.5 periods, so that bridges do not synchronise.
 		wait := every/2 + time.Duration(s.rnd.Int64N(int64(every)))
 		first := c.nextExchange.IsZero()
 		c.nextExchange = s.now.Add(wait)
@@ -297,7 +297,7 @@
 	timeout := s.scaleTimeout(2 * s.cfg.ProbeTimeout)
 	targets := s.bridgesOf(c)
 	if c.failures > 1 || len(targets) == 0 {
-		// The bridges that we know may all be gone: try anybody there.
+		// The known bridges may all be gone: try any node of the data centre.
 		targets = s.sortedMembers(c)
 		if contact, ok := s.contactIn(c); ok && c.failures%2 == 1 {
 			s.piggyback(m, contact.ID, nil)
--- a/internal/membership/handle.go
+++ b/internal/membership/handle.go
@@ -8,7 +8,7 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// maxItems bounds each repeated field of a message; more is refused whole.
+// maxItems bounds each repeated field of a message; a message with more is refused entirely.
 const maxItems = 8192
 
 func (s *State) withinBounds(m *peerpb.Membership) bool {
@@ -55,12 +55,12 @@
 	return ans
 }
 
-// HandleAnswer takes the answer to a request.
+// HandleAnswer handles the answer to the request with this ID.
 func (s *State) HandleAnswer(now time.Time, id uint64, m *peerpb.Membership) {
 	s.advance(now)
 	p, ok := s.pending[id]
 	if !ok {
-		return // an answer from before a pause, or a second one
+		return // sent before a pause, or answered already
 	}
 	if m == nil || !s.withinBounds(m) {
 		s.stats.Refused++
@@ -69,8 +69,8 @@
 	}
 	s.countReceived(m)
 	if p.to != "" && m.GetFrom() != p.to {
-		// Another node answers at this address: the one asked for was
-		// replaced there, so it is as silent as if nobody had answered.
+		// The node was replaced by another one at this address, so the request
+		// counts as failed.
 		s.mergeMessage(m)
 		s.requestFailed(id, p)
 		return
@@ -108,9 +108,9 @@
 	t.ReceivedBytes += uint64(proto.Size(m))
 }
 
-// queuePushes has the records of an urgent message pushed from here as well, once each. A record that
-// this node knows already from a probe is pushed too: a bridge that had it so, and kept it to
-// itself, would leave its change to the exchanges between data centres, some seconds apart.
+// queuePushes pushes the records of a push message on, each once. A record that this node
+// already received with a probe is pushed too: a bridge that got it so and did not push it would
+// leave the change to the exchanges between data centres, which are seconds apart.
 func (s *State) queuePushes(records []*peerpb.Record) {
 	for _, p := range records {
 		e := s.entries[p.GetId()]
@@ -123,7 +123,7 @@
 	}
 }
 
-// mergeMessage takes what any message carries.
+// mergeMessage merges what any kind of message may carry.
 func (s *State) mergeMessage(m *peerpb.Membership) {
 	source := keyOf(m.GetFrom())
 	var news []*entry
@@ -148,7 +148,7 @@
 	s.mergeAges(m)
 }
 
-// noteExchange notes a direct exchange with the sender.
+// noteExchange records a direct exchange with the sender.
 func (s *State) noteExchange(m *peerpb.Membership) {
 	e := s.entries[m.GetFrom()]
 	if e == nil || e.dead {
@@ -158,8 +158,8 @@
 		return
 	}
 	if m.GetIncarnation() < e.rec.VM.Incarnation {
-		// An older process under the same ID still runs. It learns so from
-		// our record of the newer one.
+		// An older process under the same ID is still running. The newer record
+		// lets it detect that.
 		s.queueRecord(e, 0)
 		return
 	}
@@ -174,7 +174,8 @@
 	delete(s.indirect, e.rec.VM.ID)
 }
 
-// requestSenderRecord asks for the sender's own record when we do not have it.
+// requestSenderRecord asks the sender for its own record if this node lacks it, and sends an
+// outdated process the newer record under its ID.
 func (s *State) requestSenderRecord(ans, m *peerpb.Membership, peer *entry) {
 	st := stamp{m.GetIncarnation(), m.GetSequence()}
 	if peer == nil || (peer.dead && st.newer(peer.tombstone)) || (!peer.dead && st.newer(peer.rec.stamp())) {
@@ -185,8 +186,7 @@
 	}
 }
 
-// appendDeadReplies tells of the dead nodes whose records came with the request, and
-// of the suspicion that the other side itself is under.
+// appendDeadReplies adds the claims for dead nodes whose records came with the request.
 func (s *State) appendDeadReplies(m *peerpb.Membership) {
 	for _, e := range s.deadReplies {
 		m.Claims = append(m.Claims, s.encodeClaim(e))
@@ -214,7 +214,8 @@
 	}
 }
 
-// appendRecord adds the record with this key, if there is room for it.
+// appendRecord adds the record with this key if it fits into the budget, and returns the
+// remaining budget.
 func (s *State) appendRecord(m *peerpb.Membership, key uint64, budget int) int {
 	var p *peerpb.Record
 	if key == s.key {
--- a/internal/membership/held.go
+++ b/internal/membership/held.go
@@ -6,17 +6,17 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// Which version each node holds changes on all nodes 930 times a day. As record
-// updates, each of 1,200 records of 122 bytes would ride on 16 messages of every
-// node, some 25 KB/s. So it rides on messages as one bit a node: "this
-// one holds at least the version that I hold". Bits are only ever added, so
-// messages may be lost, doubled and reordered.
+// The version that a node holds changes on all nodes 930 times a day. As record
+// updates, each of 1,200 records of 122 bytes would be sent on 16 messages of
+// every node, some 25 KB/s. Messages therefore carry one bit per node: it holds
+// at least the sender's version. Bits are only ever added, so messages may be
+// lost, duplicated and reordered.
 
-// heldRefreshEvery is how often, in messages, the bits of a data centre are told
+// heldRefreshEvery is the number of messages after which the bits of one data centre are sent
 // although nothing changed, in case the last change was lost.
 const heldRefreshEvery = 16
 
-// noteHeld notes that this incarnation of e holds version v.
+// noteHeld records that the current incarnation of e holds version v.
 func (s *State) noteHeld(e *entry, v uint64) {
 	if v <= e.heldVersion {
 		return
@@ -27,15 +27,15 @@
 	e.centre.heldSends = s.retransmitLimit()
 }
 
-// queueHeld has the next messages tell who holds the version now in force here.
+// queueHeld makes the next messages carry the holders of the version now in force at this node.
 func (s *State) queueHeld() {
 	for _, c := range s.centres {
 		c.heldSends = s.retransmitLimit()
 	}
 }
 
-// lastHeldVersion is the highest version that a node was seen to hold, in this or an
-// earlier life.
+// lastHeldVersion returns the highest version that a node was seen to hold, in this or an
+// earlier incarnation.
 func (s *State) lastHeldVersion(id string) uint64 {
 	e := s.entries[id]
 	if e == nil {
@@ -62,8 +62,8 @@
 	}
 }
 
-// forEachMember calls f with every live node of c in the order of the keys; nil
-// stands for this node.
+// forEachMember calls f for every live node of c in key order, with nil for this node, and
+// returns their number.
 func (s *State) forEachMember(c *centre, f func(i int, e *entry)) int {
 	members := s.sortedMembers(c)
 	at := -1
@@ -108,7 +108,7 @@
 	for _, h := range list {
 		c := s.centreByKey[h.GetDataCentre()]
 		if c == nil || c.idset != h.GetIdset() {
-			continue // the bits stand for other nodes than the ones known here
+			continue // the bits refer to another set of nodes than the one known here
 		}
 		bits := h.GetBits()
 		s.forEachMember(c, func(i int, e *entry) {
@@ -119,21 +119,21 @@
 	}
 }
 
-// Recall is what peers remember of the version that this node held before its
-// restart. It may carry traffic once it holds at least Version.
+// Recall is what peers remember of the version that this node held before its restart. The node
+// may carry traffic once it holds at least Version.
 type Recall struct {
 	Version  uint64
 	Asked    int
 	Answered int
-	// Done is set when every peer asked has answered or was given up.
+	// Done is set once every peer that was asked has answered or failed to.
 	Done bool
 }
 
-// Recall returns what is known so far.
+// Recall returns the answers received so far.
 func (s *State) Recall() Recall { return s.recall }
 
-// startRecall asks the ring neighbours in both directions. They exchanged
-// probes with the former process under this ID, so each saw what it held.
+// startRecall asks the ring neighbours in both directions. They exchanged probes with the former
+// process under this ID, so they saw which version it held.
 func (s *State) startRecall() {
 	for _, e := range s.peers() {
 		m := &peerpb.Membership{Kind: peerpb.Kind_KIND_RECALL}
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -11,21 +11,21 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// Contact is where a node can be asked to be let in.
+// Contact is a node that another one can join through.
 type Contact struct {
 	ID          string
 	DataCentre  string
 	ControlAddr string
 }
 
-// joinState is what a State keeps to join and to let others in.
+// joinState is the part of State that joins the mesh and serves joins of others.
 type joinState struct {
 	joined      bool
 	started     time.Time
 	contacts    []Contact
 	nextJoin    time.Time
 	attempts    int
-	triesByAddr map[string]int // how often each address was asked before it joined
+	triesByAddr map[string]int // join attempts by address, until joined
 
 	tokens       float64
 	tokensAt     time.Time
@@ -33,15 +33,15 @@
 	cachedFullAt time.Time
 }
 
-// fullStateTTL is how long a compressed full state is served again: joins come in
-// herds. One as old as a second lacks most of a herd that starts together; 13 nodes
-// knew each other after 2.4 s with that, and after 0.95 s with 100 ms.
+// fullStateTTL is how long a compressed full state is reused, since joins come in bursts. A
+// state as old as a second lacks most nodes of a mass start: 13 nodes knew each other after 2.4
+// s with one second, and after 0.95 s with 100 ms.
 const fullStateTTL = 100 * time.Millisecond
 
 const maxReferrals = 5
 
-// compress and decompress make their coder anew: joins are rare, and a coder
-// kept for ever holds megabytes.
+// compress and decompress create a coder per call: joins are rare, and a coder that is kept
+// holds megabytes.
 func compress(raw []byte) ([]byte, error) {
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
 	if err != nil {
@@ -66,7 +66,7 @@
 	for _, addr := range s.cfg.Seeds {
 		s.addContact(Contact{ControlAddr: addr})
 	}
-	// Many nodes may start at once: the first join is spread too.
+	// Many nodes may start at once, so the first join is jittered too.
 	s.nextJoin = s.now.Add(s.jitter(s.cfg.JoinBackoff))
 }
 
@@ -74,7 +74,7 @@
 	return time.Duration(s.rnd.Int64N(int64(d) + 1))
 }
 
-// AddContacts adds nodes to ask, such as those in the platform's table.
+// AddContacts adds nodes to join through, such as those in the platform's table.
 func (s *State) AddContacts(now time.Time, list []Contact) {
 	s.advance(now)
 	for _, c := range list {
@@ -93,7 +93,7 @@
 		return
 	}
 	if len(s.contacts) >= s.cfg.Limits.Contacts {
-		oldest := min(len(s.cfg.Seeds), len(s.contacts)-1) // seeds stay
+		oldest := min(len(s.cfg.Seeds), len(s.contacts)-1) // seeds are kept
 		s.contacts = slices.Delete(s.contacts, oldest, oldest+1)
 	}
 	s.contacts = append(s.contacts, c)
@@ -112,19 +112,18 @@
 	return list[s.rnd.IntN(len(list))], true
 }
 
-// Joined tells whether this node has a full state, or found nobody to ask.
+// Joined reports whether this node has a full state, or found no other node to join.
 func (s *State) Joined() bool { return s.joined }
 
-// ShouldReadContacts tells whether reading the platform's contacts could help. When
-// another data centre is cut off, only the bridges read: else every node of a
-// parted region would.
+// ShouldReadContacts reports whether reading the platform's contacts could help. If another data
+// centre is cut off, only the bridges read; otherwise every node of a partitioned region would.
 func (s *State) ShouldReadContacts() bool {
 	_, home := s.cutOff[s.home.name]
 	return !s.joined || s.live == 0 || home || (len(s.cutOff) > 0 && s.isBridge())
 }
 
-// tickJoin asks for a full state until there is one, again whenever no neighbour
-// is left to talk to, and when a contact turns up that this node does not know.
+// tickJoin requests a full state until there is one. It does so again if no neighbour is left to
+// exchange gossip with, and for contacts at addresses of no known node.
 func (s *State) tickJoin() {
 	if !s.joined && s.now.Sub(s.started) > s.cfg.AloneAfter {
 		s.markJoined()
@@ -147,9 +146,9 @@
 	s.sendAddr("", c.ControlAddr, s.home, m, 2*s.cfg.ProbeTimeout)
 }
 
-// pickContact returns whom to ask. Once joined, only the bridges ask, and only
-// those whom they do not know: nodes that started together, or while parted,
-// may have formed several meshes, each of which believes that it is whole.
+// pickContact returns the contact to join through. Once joined, only bridges ask, and only
+// contacts that they do not know: nodes that started together, or during a partition, may have
+// formed several meshes that each appear complete.
 func (s *State) pickContact() (Contact, bool) {
 	list := s.contacts
 	_, cut := s.cutOff[s.home.name]
@@ -170,9 +169,9 @@
 	return list[s.rnd.IntN(len(list))], true
 }
 
-// leastTried returns the contacts that were asked least often. Drawn from all, a
-// contact that is down may be drawn until the node takes itself to be the first of
-// the mesh; with an empty platform it would then serve by version 0.
+// leastTried returns the contacts that were tried least often. A draw from all of them might
+// pick a contact that is down again and again until the node counts as the first of the mesh;
+// with an empty platform it would then serve version 0.
 func (s *State) leastTried(list []Contact) []Contact {
 	var out []Contact
 	least := 0
@@ -188,12 +187,12 @@
 	return out
 }
 
-// unknownContacts returns the contacts at addresses that belong to no known node, and
-// where nodes were that left or died.
+// unknownContacts returns the contacts at addresses of no known node, and the addresses of nodes
+// that left or died.
 //
-// A node that starts again while the platform is down has nobody to ask. It comes
-// back at its address, where those that remember it find it; left to itself it
-// would know no endpoint, and refuse every call until the platform is back.
+// A node that restarts while the platform is down has no contact to join through. It starts at
+// its old address, where the nodes that remember it can reach it. Otherwise it would know no
+// endpoint and refuse every call until the platform is back.
 func (s *State) unknownContacts() []Contact {
 	if !s.isBridge() {
 		return nil
@@ -214,8 +213,8 @@
 	})
 }
 
-// backoff is the wait before the next join: full jitter under a bound that
-// doubles, and never less than a tenth of it so that a herd stays bounded.
+// backoff returns the wait before the next join: full jitter under a bound that doubles, plus a
+// tenth of that bound, which limits the rate of a mass start.
 func (s *State) backoff() time.Duration {
 	bound := s.cfg.JoinBackoffMax
 	if !s.joined && s.attempts < 10 {
@@ -224,8 +223,8 @@
 	return bound/10 + s.jitter(bound)
 }
 
-// answerJoin serves the full state to a few joins a second and refers the rest
-// to others.
+// answerJoin serves the full state to a limited rate of joins and refers the others to further
+// nodes.
 func (s *State) answerJoin(m, ans *peerpb.Membership) {
 	ans.Recalled = s.lastHeldVersion(m.GetFrom())
 	s.tokens = min(s.cfg.JoinBurst, s.tokens+s.now.Sub(s.tokensAt).Seconds()*s.cfg.JoinsPerSecond)
@@ -292,15 +291,15 @@
 	}
 	s.mergeHeld(m.GetHeld())
 	s.recall.Version = max(s.recall.Version, m.GetRecalled())
-	// Two nodes that both just started know nothing that makes either joined.
+	// An answer from a node that has not joined itself does not complete the join.
 	if !m.GetJoining() && !s.joined {
 		s.markJoined()
 	}
 }
 
-// mergeFullState takes a full state. To a node that joins, its records are old news to
-// everybody else and do not ride on its messages. To one that has joined
-// before, they come from a mesh that was apart.
+// mergeFullState merges a full state. While this node joins, the records are known to all
+// others, so they are not queued for its messages. If it has joined before, they come from a
+// mesh that was partitioned from it, and are.
 func (s *State) mergeFullState(full []byte, source uint64) bool {
 	raw, err := decompress(full, s.cfg.Limits.FullStateBytes)
 	if err != nil {
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -26,7 +26,7 @@
 
 func centreKeyOf(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// hashStamp is a record's share of the digest of its data centre.
+// hashStamp returns the contribution of a record to the digest of its data centre.
 func hashStamp(key uint64, st stamp) uint64 {
 	var b [24]byte
 	binary.LittleEndian.PutUint64(b[0:], key)
@@ -52,7 +52,7 @@
 		RefusedReason: r.RefusedReason,
 	}
 	if r.AppliedHash != [8]byte{} {
-		p.AppliedHash = bytes.Clone(r.AppliedHash[:]) // p outlives the lock on r
+		p.AppliedHash = bytes.Clone(r.AppliedHash[:]) // p is used after the lock on r is released
 	}
 	for _, b := range r.Backends {
 		p.Backends = append(p.Backends, &peerpb.Backend{
@@ -117,10 +117,10 @@
 	return r
 }
 
-// maxSlots bounds the slots of one backend server; a larger number is a fault.
+// maxSlots bounds the slots of one backend server; a larger number is invalid.
 const maxSlots = 1 << 20
 
-// validRecord tells whether a record from a peer is well formed and within bounds.
+// validRecord reports whether a record from a peer is well formed and within the limits.
 func (l *Limits) validRecord(p *peerpb.Record) bool {
 	if p.GetId() == "" || p.GetDataCentre() == "" || p.GetIncarnation() == 0 {
 		return false
@@ -152,16 +152,16 @@
 	return true
 }
 
-const digestEntryBytes = 14 // bytes a data centre
+const digestEntryBytes = 14 // per data centre
 
-// maxDigestCentres bounds the data centres that a peer can name.
+// maxDigestCentres bounds the data centres in a peer's digest.
 const maxDigestCentres = 64
 
-// centreDigest is one data centre in a digest.
+// centreDigest is the entry of one data centre in a digest.
 type centreDigest struct {
 	key  uint32
 	hash uint64
-	age  time.Duration // since it was last heard
+	age  time.Duration // since the last message from it
 }
 
 func appendDigest(b []byte, d centreDigest) []byte {
@@ -170,14 +170,14 @@
 	return binary.LittleEndian.AppendUint16(b, uint16(min((d.age+ageMargin)/ageUnit, maxAgeUnits)))
 }
 
-// An age is told a little higher than it is. Were it rounded down, or the time
-// on the way left out, each message would make the word of a data centre
-// slightly younger; passed round among many nodes it would never grow old, and
-// a cut would never be noticed.
+// Encoded ages are slightly too high. If they were rounded down, or left out the
+// time in transit, each hop would make a data centre's last message appear more
+// recent; relayed among many nodes it would never age, and a partition would
+// never be detected.
 const (
 	ageUnit     = 100 * time.Millisecond
 	ageMargin   = 500 * time.Millisecond
-	maxAgeUnits = 1<<16 - 1 // stands for anything older
+	maxAgeUnits = 1<<16 - 1 // this or more
 )
 
 func parseDigest(b []byte) []centreDigest {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -11,14 +11,14 @@
 // maxHealth bounds the local health multiplier.
 const maxHealth = 8
 
-// relay is a probe made for another node.
+// relay is a probe made on behalf of another node.
 type relay struct{ requester, target string }
 
-// indirectProbe is a probe through relays under way.
+// indirectProbe is a probe through relays in progress.
 type indirectProbe struct {
 	deadline time.Time
-	relays   int // asked
-	answered int // relays that took the order
+	relays   int // relays asked
+	answered int // relays that accepted the request
 }
 
 // tickProbe probes the next neighbour.
@@ -26,7 +26,7 @@
 	if s.now.Before(s.nextProbe) {
 		return
 	}
-	// A tenth of jitter keeps nodes that started together from probing so.
+	// 10% jitter keeps nodes that started together from probing in step.
 	period := s.cfg.ProbeEvery - s.cfg.ProbeEvery/20 + time.Duration(s.rnd.Int64N(int64(s.cfg.ProbeEvery/10)+1))
 	s.nextProbe = s.now.Add(period)
 	if e := s.nextProbeTarget(); e != nil {
@@ -34,8 +34,8 @@
 	}
 }
 
-// nextProbeTarget returns the neighbours in turn, each once in a shuffled round;
-// those that others suspect go first.
+// nextProbeTarget returns the probe targets in rounds, each once per shuffled round. Targets
+// that others suspect go first.
 func (s *State) nextProbeTarget() *entry {
 	s.ring()
 	for len(s.priorityProbes) > 0 {
@@ -66,7 +66,7 @@
 	s.send(e, m, s.scaleTimeout(s.cfg.ProbeTimeout))
 }
 
-// scaleTimeout widens a timeout while this node itself seems slow.
+// scaleTimeout lengthens a timeout while this node itself appears slow.
 func (s *State) scaleTimeout(d time.Duration) time.Duration {
 	return d * time.Duration(1+s.health)
 }
@@ -85,8 +85,8 @@
 	delete(s.indirect, target)
 }
 
-// probeFailed asks relays to probe the silent node. The relays are nodes that
-// probe it anyway and so have a connection to it.
+// probeFailed asks relays to probe a node that did not answer. Relays are nodes that probe it
+// anyway and so have a connection to it.
 func (s *State) probeFailed(target string) {
 	e := s.entries[target]
 	if e == nil || e.dead || s.indirect[target] != nil || e.centre != s.home {
@@ -112,7 +112,7 @@
 	}
 }
 
-// startRelay probes target for asker. Only a success is told.
+// startRelay probes target for requester. Only a success is reported back.
 func (s *State) startRelay(asker, target string) {
 	e := s.entries[target]
 	if e == nil || e.dead {
@@ -136,8 +136,8 @@
 
 func (s *State) handleVouch(target string) { delete(s.indirect, target) }
 
-// tickIndirect suspects the nodes that neither we nor the relays reached. When
-// no relay answered either, the fault is as likely ours and nothing is said.
+// tickIndirect suspects the nodes that neither this node nor the relays reached. If no relay
+// answered either, the fault is as likely at this node, and it raises no suspicion.
 func (s *State) tickIndirect() {
 	if len(s.indirect) == 0 {
 		return
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// View returns the current picture. It is built anew only after a change; the
-// records that did not change are shared with the picture before.
+// View returns the current view. It is rebuilt only after a change; unchanged records are shared
+// with the previous view.
 func (s *State) View(now time.Time) *View {
 	s.advance(now)
 	if s.view != nil && !s.viewDirty && !s.heldDirty {
@@ -29,8 +29,8 @@
 	return v
 }
 
-// Stale tells whether the last View is out of date, and whether in more than
-// the versions that nodes hold.
+// Stale reports whether the last View is out of date, and whether in more than the versions that
+// nodes hold.
 func (s *State) Stale() (any, records bool) {
 	return s.viewDirty || s.heldDirty || s.view == nil, s.viewDirty || s.view == nil
 }
@@ -46,13 +46,14 @@
 	e.published = &ObservedRecord{Record: e.rec, UpdatedAt: e.updatedAt}
 	e.published.State = state
 	if e.heldVersion > e.rec.AppliedVersion {
-		// Only the number of the newer version is known.
+		// The hash of the newer version is unknown.
 		e.published.AppliedVersion, e.published.AppliedHash = e.heldVersion, [8]byte{}
 	}
 	return e.published
 }
 
-// cutOffSinceExchange tells whether e is behind a cut and was not itself reached since.
+// cutOffSinceExchange reports whether the data centre of e is cut off and e itself was not
+// reached since.
 func (s *State) cutOffSinceExchange(e *entry) bool {
 	since, cut := s.cutOff[e.centre.name]
 	return cut && !e.lastExchange.After(since)
--- a/internal/membership/ring.go
+++ b/internal/membership/ring.go
@@ -8,7 +8,7 @@
 	"github.com/dgryski/go-rendezvous"
 )
 
-// sortedMembers returns the live entries of a data centre by key, without this node.
+// sortedMembers returns the live entries of a data centre ordered by key, without this node.
 func (s *State) sortedMembers(c *centre) []*entry {
 	if c.members != nil {
 		return c.members
@@ -23,13 +23,13 @@
 	return c.members
 }
 
-// neighbours returns the nodes at distances 1, 2, 4 and so on from the node
-// with this key in the ring of the own data centre, onwards or backwards. This
-// node itself may be among them as nil.
+// neighbours returns the nodes at distances 1, 2, 4 and so on from the node with this key in the
+// ring of the home data centre, forwards or backwards. This node itself may be among them as
+// nil.
 //
-// A node probes its neighbours onwards and is probed by those backwards. So it
-// keeps connections to 2·log2(n) peers, each node has log2(n) observers, and a
-// rumour crosses the ring in log2(n) steps.
+// A node probes its neighbours forwards and is probed by those backwards. So it keeps
+// connections to 2·log2(n) peers, each node has log2(n) observers, and a change crosses the ring
+// in log2(n) steps.
 func (s *State) neighbours(key uint64, backwards bool) []*entry {
 	ring := s.ring()
 	n := len(ring)
@@ -55,8 +55,8 @@
 	return e.key
 }
 
-// ring is the own data centre by key; nil stands for this node. Leaving nodes
-// are not in it.
+// ring returns the nodes of the home data centre ordered by key, with nil for this node and
+// without leaving nodes.
 func (s *State) ring() []*entry {
 	if s.ringCache != nil {
 		return s.ringCache
@@ -87,10 +87,9 @@
 	return out
 }
 
-// selectBridges returns the n nodes of a data centre that rendezvous hashing picks
-// as bridges; nil stands for this node. Views differ for a while after a
-// change, so there may be more bridges than n for that while, or one that is
-// gone: the work is harmless when doubled.
+// selectBridges returns up to n nodes of a data centre, chosen as bridges by rendezvous hashing;
+// nil stands for this node. Views differ for a while after a change, so there may be more than n
+// bridges, or a bridge that is gone: the work is harmless if done twice.
 func (s *State) selectBridges(c *centre, n int) []*entry {
 	var ids []string
 	for _, e := range s.sortedMembers(c) {
@@ -105,14 +104,15 @@
 	var out []*entry
 	for range min(n, len(ids)) {
 		id := rendezvous.New(ids, keyOf).Lookup("bridge")
-		// The library's Remove panics, so the table is made anew.
+		// The library's Remove panics, so the table is rebuilt.
 		ids = slices.DeleteFunc(ids, func(other string) bool { return other == id })
 		out = append(out, s.entries[id])
 	}
 	return out
 }
 
-// bridgesOf returns the bridges of a data centre.
+// bridgesOf returns the bridges of a data centre: the nodes that exchange gossip with other data
+// centres.
 func (s *State) bridgesOf(c *centre) []*entry {
 	if c.bridges == nil {
 		c.bridges = s.selectBridges(c, s.cfg.Bridges)
@@ -122,11 +122,11 @@
 
 func (s *State) isBridge() bool { return slices.Contains(s.bridgesOf(s.home), nil) }
 
-// ShouldWriteContact tells whether this node should write its row of contacts: only a
-// few nodes of each data centre, its bridges, do.
+// ShouldWriteContact reports whether this node should write its contact row. Only the bridges of
+// each data centre do.
 func (s *State) ShouldWriteContact() bool { return s.joined && s.isBridge() }
 
-// shuffled returns up to n of list in random order.
+// shuffled returns up to n elements of list in random order.
 func shuffled[T any](s *State, list []T, n int) []T {
 	out := slices.Clone(list)
 	s.rnd.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
--- a/internal/membership/runner.go
+++ b/internal/membership/runner.go
@@ -14,37 +14,37 @@
 	"github.com/marlpass/marlpass/internal/wait"
 )
 
-// Transport carries a request to the node at addr and its answer back.
+// Transport sends a request to the node at addr and returns its answer.
 type Transport interface {
 	Exchange(ctx context.Context, addr string, m *peerpb.Membership) (*peerpb.Membership, error)
 }
 
 const (
 	tickInterval = 100 * time.Millisecond
-	// heldViewInterval bounds how often a view is built for nothing but the versions
-	// that nodes hold, which change in many small steps.
+	// heldViewInterval is the minimum time between views that differ only in the versions that
+	// nodes hold, which change in many small steps.
 	heldViewInterval = time.Second
 	// contactWriteInterval is the time between two writes of a contact row.
 	contactWriteInterval = 10 * time.Minute
-	// contactReadInterval is the time between two reads while they can help.
+	// contactReadInterval is the mean time between two reads while they can help.
 	contactReadInterval = 10 * time.Second
-	// contactStartInterval is the time between two reads of a node that has not joined,
-	// where the rows are the only way to find others.
+	// contactStartInterval is the mean time between two reads by a node that knows no other one,
+	// where the rows are the only way to find the mesh.
 	contactStartInterval = 800 * time.Millisecond
-	// contactStartJitter is the time over which nodes that start together spread their first
-	// look at the rows: some answers of the platform long, so that the first few write theirs
-	// and the others find enough to join. At once, each finds none, writes its own, and has to
-	// look again.
+	// contactStartJitter spreads the first reads of nodes that start together. The platform
+	// takes some time to answer, so the first few nodes write their rows and the others find
+	// enough of them to join. Without it, each node finds none, writes its own row and has to
+	// read again.
 	contactStartJitter = 100 * time.Millisecond
-	// contactCheckInterval is the time between two reads by the nodes whose duty it is
-	// to write one: nodes that started together may have formed several meshes.
+	// contactCheckInterval is the time between two reads by the nodes that write contact rows:
+	// nodes that started together may have formed several meshes.
 	contactCheckInterval = time.Minute
-	// maxExchanges bounds the requests under way.
+	// maxExchanges bounds the requests in flight.
 	maxExchanges = 32
 )
 
-// Runner drives a State with a clock and a transport, and publishes its View.
-// All methods are safe for concurrent use.
+// Runner drives a State with a clock and a transport and publishes its View. All methods are
+// safe for concurrent use.
 type Runner struct {
 	mu        sync.Mutex // guards state and the times; never held across I/O
 	state     *State
@@ -57,8 +57,8 @@
 	wake      chan struct{}
 }
 
-// NewRunner returns a Runner for a node that starts now. A nil contacts leaves
-// first contact to the seeds.
+// NewRunner returns a Runner for a node that starts now. If contacts is nil, the node joins
+// through its seeds only.
 func NewRunner(cfg Config, t Transport, contacts Contacts, views *CurrentView, log zerolog.Logger) *Runner {
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	r := &Runner{
@@ -73,7 +73,7 @@
 	return r
 }
 
-// Run drives the state until ctx ends.
+// Run drives the state until ctx is done.
 func (r *Runner) Run(ctx context.Context) error {
 	var group errgroup.Group
 	var exchanges errgroup.Group
@@ -95,7 +95,7 @@
 	return group.Wait()
 }
 
-// step lets the state do what is due.
+// step runs what is due and sends the resulting requests.
 func (r *Runner) step(ctx context.Context, exchanges *errgroup.Group) {
 	r.mu.Lock()
 	now := time.Now()
@@ -111,7 +111,7 @@
 	}
 }
 
-// publish builds a new view when one is due.
+// publish stores a new view if one is due.
 func (r *Runner) publish(now time.Time) {
 	stale, records := r.state.Stale()
 	if !stale || (!records && now.Sub(r.published) < heldViewInterval) {
@@ -137,7 +137,7 @@
 	}
 }
 
-// update runs f on the state and lets Run act on what came of it.
+// update runs f on the state and wakes Run to send the requests that result.
 func (r *Runner) update(f func(*State, time.Time)) {
 	r.mu.Lock()
 	f(r.state, time.Now())
@@ -154,7 +154,7 @@
 	return ans
 }
 
-// SetBackends replaces the backend servers beside this node.
+// SetBackends replaces the backend servers of this node.
 func (r *Runner) SetBackends(list []Backend) (err error) {
 	r.update(func(s *State, now time.Time) { err = s.SetBackends(now, list) })
 	return err
@@ -166,13 +166,13 @@
 	return err
 }
 
-// SetConfigStatus tells which version is in force here.
+// SetConfigStatus sets the configuration version in force at this node.
 func (r *Runner) SetConfigStatus(a ConfigStatus) {
 	r.update(func(s *State, now time.Time) { s.SetConfigStatus(now, a) })
 }
 
-// Leave tells the mesh that this node leaves. Run has to go on for about two
-// seconds more for the word to get out.
+// Leave announces to the mesh that this node leaves. Run has to continue for about two seconds
+// to distribute it.
 func (r *Runner) Leave() { r.update((*State).Leave) }
 
 // Recall returns what peers remember of the version held before a restart.
@@ -181,14 +181,14 @@
 	return out
 }
 
-// Joined tells whether the node has a full state, or found nobody to ask.
+// Joined reports whether the node has a full state, or found no other node to join.
 func (r *Runner) Joined() (out bool) {
 	r.read(func(s *State) { out = s.Joined() })
 	return out
 }
 
-// Superseded tells since when another process claims this node's ID with a
-// later start.
+// Superseded reports whether another process with a later start uses this node's ID, and since
+// when that is known.
 func (r *Runner) Superseded() (at time.Time, yes bool) {
 	r.read(func(s *State) { at, yes = s.Superseded() })
 	return at, yes
@@ -206,8 +206,8 @@
 	f(r.state)
 }
 
-// runContacts reads the platform's contacts while they can help and, on the
-// few nodes whose duty it is, writes the own one.
+// runContacts reads the platform's contacts while they can help and, on the few nodes that write
+// contact rows, writes this node's row.
 func (r *Runner) runContacts(ctx context.Context) error {
 	var written, read time.Time
 	if r.state.cfg.WriteContactEarly {
@@ -217,10 +217,10 @@
 		var needed, writer, early bool
 		r.read(func(s *State) {
 			needed, writer = s.ShouldReadContacts(), s.ShouldWriteContact()
-			// One that took itself to be the first, since the platform was down as
-			// well, goes on looking: it serves nobody until it finds the others.
+			// A node that counted as the first because the platform was down too
+			// keeps reading: it is of no use until it finds the others.
 			early = s.cfg.WriteContactEarly && s.live == 0
-			// One that knows somebody has whom to ask for the rest.
+			// A node that knows another one can join through it.
 			needed = needed && (s.joined || early || !s.cfg.WriteContactEarly)
 		})
 		due := (writer || early) && time.Since(written) >= contactWriteInterval
@@ -241,17 +241,17 @@
 	return nil
 }
 
-// readContacts also removes, on duty, the rows of the own data centre that
-// nobody refreshes any more. The clocks that say so may be wrong, this node's or
-// the writer's, so the row of a node whose duty it is now stays, and one that
-// lies far ahead is as old as one that lies far back. It reports whether other nodes there wrote so many
-// rows that one more helps nobody, as when all start with an empty table.
+// readContacts reads the platform's contacts. A writer also removes the rows of its data centre
+// that are no longer refreshed. The clocks involved may be wrong, this node's or the writer's.
+// So the row of a current writer is kept, and a time far in the future counts as old as one far
+// in the past. It reports whether other nodes of the data centre wrote enough rows that one more
+// is of no use, as when all nodes start with an empty table.
 func (r *Runner) readContacts(ctx context.Context, writer bool) (enough bool) {
 	ctx, cancel := context.WithTimeout(ctx, contactReadInterval/2)
 	defer cancel()
 	rows, err := r.contacts.List(ctx)
 	if err != nil {
-		r.log.Warn().Err(err).Msg("membership: contacts not read")
+		r.log.Warn().Err(err).Msg("membership: reading contacts failed")
 		return false
 	}
 	list := make([]Contact, 0, len(rows))
@@ -272,11 +272,11 @@
 	return others >= 2*r.state.cfg.Bridges
 }
 
-// isContactWriter tells whether the node is one of the own data centre that write
-// their rows of contacts; see ShouldWriteContact.
+// isContactWriter reports whether a node of the home data centre currently writes its contact
+// row; see ShouldWriteContact.
 func (r *Runner) isContactWriter(id string) (yes bool) {
 	r.read(func(s *State) {
-		e := s.entries[id] // nil stands for this node among the bridges
+		e := s.entries[id] // among the bridges, nil stands for this node
 		yes = e != nil && slices.Contains(s.bridgesOf(s.home), e)
 	})
 	return yes
@@ -284,7 +284,7 @@
 
 func (r *Runner) removeContact(ctx context.Context, c Contact) {
 	if err := r.contacts.Remove(ctx, c); err != nil {
-		r.log.Warn().Err(err).Str("peer", c.ID).Msg("membership: old contact not removed")
+		r.log.Warn().Err(err).Str("peer", c.ID).Msg("membership: removing an outdated contact failed")
 	}
 }
 
@@ -297,7 +297,7 @@
 		At:      time.Now(),
 	}
 	if err := r.contacts.Put(ctx, row); err != nil {
-		r.log.Warn().Err(err).Msg("membership: contact not written")
+		r.log.Warn().Err(err).Msg("membership: writing the contact failed")
 		return false
 	}
 	return true
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -8,22 +8,23 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// ErrRecordTooLarge is given for a change to the own record that is over a limit.
-var ErrRecordTooLarge = errors.New("membership: the record would be over a limit")
+// ErrRecordTooLarge reports a change to this node's record that exceeds a limit.
+var ErrRecordTooLarge = errors.New("membership: the record exceeds a limit")
 
-// ownRecord is what this node keeps of its ownRecord record.
+// ownRecord is the publishing state of this node's own record.
 type ownRecord struct {
-	changePending bool // a lazy change waits
-	pushPending   bool // the next raise is told at once
+	changePending bool // a non-urgent change is waiting
+	pushPending   bool // the next publication is urgent
 	nextUpdate    time.Time
 	urgent        bool
 	supersededAt  time.Time
 	joinedAt      time.Time
-	knownCentres  map[string]struct{} // data centres ever known
-	newCentreAt   time.Time           // when the last of them became known
+	knownCentres  map[string]struct{} // data centres known since the start
+	newCentreAt   time.Time           // when the latest of them was added
 }
 
-// ConfigStatus is what SetConfigStatus tells of the configuration in force.
+// ConfigStatus is the configuration in force at this node and the newest
+// version that it could not apply.
 type ConfigStatus struct {
 	Version        uint64
 	Hash           [8]byte
@@ -31,14 +32,17 @@
 	RefusedReason  string
 }
 
+// toggleOwnHash adds the own record to the digest of the home data centre, or removes it again:
+// the digest combines hashes by XOR.
 func (s *State) toggleOwnHash() {
 	s.home.hash ^= hashStamp(s.key, s.self.stamp())
 	s.home.idset ^= hashStamp(s.key, stamp{s.self.VM.Incarnation, 0})
 }
 
-// publishOwn is the only place that raises the own record.
+// publishOwn increases the sequence of the own record and queues it for gossip.
+// Nothing else changes the sequence.
 func (s *State) publishOwn(incarnation uint64, urgent bool) {
-	s.toggleOwnHash() // the digest is a sum by XOR: linking twice unlinks
+	s.toggleOwnHash()
 	if incarnation > s.self.VM.Incarnation {
 		s.self.VM.Incarnation = incarnation
 	}
@@ -51,13 +55,15 @@
 	s.queueOwn(urgent)
 }
 
+// queueOwn queues the own record for the next messages, and for a push if urgent.
 func (s *State) queueOwn(urgent bool) {
 	s.ownSends = s.retransmitLimit()
 	s.own.urgent = s.own.urgent || urgent
 }
 
-// SetBackends replaces the backend servers beside this node. Taking one out of
-// service is told at once; the rest waits for the next messages.
+// SetBackends replaces this node's backend servers. Taking a ready one out of
+// service is pushed at once; other changes ride on the next messages unless
+// Config.PushAllChanges is set. It returns ErrRecordTooLarge over a limit.
 func (s *State) SetBackends(now time.Time, list []Backend) error {
 	s.advance(now)
 	if err := s.checkOwnLimits(Record{Backends: list}); err != nil {
@@ -73,7 +79,7 @@
 	return nil
 }
 
-// removesReadyBackend tells whether a backend server that was ready no longer is.
+// removesReadyBackend reports whether a backend server that was ready no longer is.
 func removesReadyBackend(before, after []Backend) bool {
 	for _, b := range before {
 		ready := func(a Backend) bool {
@@ -86,7 +92,8 @@
 	return false
 }
 
-// SetNotices replaces the notices of this node; they are told at once.
+// SetNotices replaces the notices of this node and pushes them at once. It
+// returns ErrRecordTooLarge over a limit.
 func (s *State) SetNotices(now time.Time, list []Notice) error {
 	s.advance(now)
 	if err := s.checkOwnLimits(Record{Notices: list}); err != nil {
@@ -99,9 +106,9 @@
 	return nil
 }
 
-// SetConfigStatus tells which version is in force here. The version alone raises no
-// sequence: it rides on messages as one bit a node (see Held). A refusal is
-// rare and goes into the record.
+// SetConfigStatus sets the configuration version in force at this node. The
+// version alone does not increase the sequence: it is gossiped as one bit per
+// node (see encodeHeld). A refusal is rare and goes into the record.
 func (s *State) SetConfigStatus(now time.Time, a ConfigStatus) {
 	s.advance(now)
 	refused := a.RefusedVersion != s.self.RefusedVersion || a.RefusedReason != s.self.RefusedReason
@@ -117,8 +124,8 @@
 	}
 }
 
-// Leave says that this node leaves the mesh; it is told at once. The node may
-// go on answering until its calls are done.
+// Leave marks this node as leaving and pushes that at once. The node may go on
+// answering until its calls are done.
 func (s *State) Leave(now time.Time) {
 	s.advance(now)
 	if s.self.State == VMLeaving {
@@ -138,9 +145,9 @@
 	return nil
 }
 
-// ownChanged raises the record at once or, for a lazy change, at most every
-// RecordUpdateEvery, so that a flapping backend server costs a bounded number of
-// updates.
+// ownChanged publishes an urgent change at once and any other change at most
+// every RecordUpdateEvery, which bounds the updates caused by a flapping backend
+// server.
 func (s *State) ownChanged(urgent bool) {
 	if urgent || !s.now.Before(s.own.nextUpdate) {
 		s.publishOwn(0, urgent)
@@ -156,20 +163,19 @@
 		s.self.Notices = keep
 		s.own.changePending = true
 	}
-	// Others drop a leaving record after LeavingRetention; say that we live on.
+	// Peers drop a leaving record after LeavingRetention, so it is republished in time.
 	refreshLeaving := s.self.State == VMLeaving && s.now.Sub(s.own.nextUpdate) > s.cfg.LeavingRetention/2
 	if (s.own.changePending || refreshLeaving) && !s.now.Before(s.own.nextUpdate) && s.own.supersededAt.IsZero() {
 		s.publishOwn(0, false)
 	}
 }
 
-// acceptOwn takes a record under this node's ID. A higher one that we did not
-// make is either our own from before the restart, or that of another process
-// that claims the ID. For the first minute after joining it is taken for the
-// former, and we go above it; see young. After that it is a process that started later:
-// it wins, since a replaced VM must, and this one reports itself superseded
-// and raises its record no more. Both going on would raise each other without
-// end.
+// acceptOwn handles a record under this node's own ID. A higher one that this process did not
+// publish comes either from before its restart or from another process that uses the ID. While
+// mayBePredecessor holds it is taken for the former, and this node publishes a higher one. Later
+// it is taken for a process that started after this one. That process wins, as the replacement
+// of a VM must; this one reports itself superseded and stops publishing, since two processes
+// that outbid each other would never stop.
 func (s *State) acceptOwn(p *peerpb.Record) {
 	st := stamp{p.GetIncarnation(), p.GetSequence()}
 	if !st.newer(s.self.stamp()) {
@@ -181,7 +187,7 @@
 	}
 	s.stats.DuplicateIDs++
 	if st.incarnation == s.self.VM.Incarnation {
-		// Started in the same millisecond: part the two by chance.
+		// Both started in the same millisecond: break the tie at random.
 		s.publishOwn(st.incarnation+1+s.rnd.Uint64N(1000), false)
 		return
 	}
@@ -190,22 +196,22 @@
 	}
 }
 
-// mayBePredecessor tells whether what is said of this node may still be about an earlier
-// process under its ID.
+// mayBePredecessor reports whether a record or claim about this node may still refer to an
+// earlier process under its ID.
 //
-// That lasts for a while after the join, and again after another data centre
-// became known for the first time. Where a whole data centre starts anew while
-// it is cut off, only the others remember its former processes, and only after
-// the cut do they say so. Had those had faster clocks, each node would take its
-// own past for a later process and carry no traffic any more.
+// That holds for a while after the join, and again after a data centre becomes known for the
+// first time. If a whole data centre restarts while partitioned, only the other data centres
+// remember its former processes, and they report them only after the partition heals. If the
+// former clocks were ahead, each node would otherwise take its predecessor for a later process
+// and carry no more traffic.
 func (s *State) mayBePredecessor() bool {
 	recent := func(at time.Time) bool { return s.now.Sub(at) < s.cfg.LeavingRetention }
 	return !s.joined || recent(s.own.joinedAt) || recent(s.own.newCentreAt)
 }
 
-// noteCentre notes that a data centre is known. Where the same message told the own
-// record before it told of the data centre, it was judged too early; it is told
-// again.
+// noteCentre records that a data centre is known. If a record under this node's ID stood before
+// the first record of that data centre in the same message, this node marked itself superseded
+// too early; that is undone.
 func (s *State) noteCentre(name string) {
 	if _, known := s.own.knownCentres[name]; known || len(s.own.knownCentres) >= maxDigestCentres {
 		return
@@ -217,19 +223,19 @@
 	}
 }
 
-// Superseded tells since when another process is known to claim this node's
-// ID with a later start. The node should stop.
+// Superseded reports whether another process with a later start uses this node's
+// ID, and since when that is known. The node should stop then.
 func (s *State) Superseded() (time.Time, bool) {
 	return s.own.supersededAt, !s.own.supersededAt.IsZero()
 }
 
-// refute answers a claim about this node by a higher record.
+// refute answers a claim about this node by publishing a higher record.
 //
-// A claim of a higher incarnation is about an earlier process under this ID
-// whose clock was ahead of this one's. Once that process is buried, its record
-// is told no more, so acceptOwn never hears of it: the claim is all that shows
-// what to go above. Unanswered, nobody would believe this node until the
-// tombstones of the former one expire.
+// A claim of a higher incarnation refers to an earlier process under this ID
+// whose clock was ahead. Once that process is declared dead, its record is no
+// longer sent, so acceptOwn never sees it; only the claim shows which
+// incarnation to exceed. Without an answer, peers would ignore this node until
+// the tombstones of the earlier process expire.
 func (s *State) refute(about stamp) {
 	if about.incarnation > s.self.VM.Incarnation && s.mayBePredecessor() {
 		s.stats.Refutations++
@@ -241,7 +247,7 @@
 	}
 	s.stats.Refutations++
 	if about.sequence > s.self.Sequence {
-		s.stats.Refused++ // nobody but us makes sequences
+		s.stats.Refused++ // forged: only this node increases its sequence
 		return
 	}
 	s.publishOwn(0, true)
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -10,11 +10,11 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// OutgoingRequest is a request that the caller of State has to make. What comes of it goes
-// to HandleAnswer or HandleFailure under its ID.
+// OutgoingRequest is a request that the caller of State has to send. Its outcome goes to
+// HandleAnswer or HandleFailure under its ID.
 type OutgoingRequest struct {
 	ID      uint64
-	To      string // ID of the node, empty when only its address is known
+	To      string // ID of the node; empty if only its address is known
 	Addr    string
 	Kind    peerpb.Kind
 	Msg     *peerpb.Membership
@@ -25,15 +25,14 @@
 type pending struct {
 	kind       peerpb.Kind
 	to         string
-	target     string // of a relay
+	target     string // node to probe, of a relay request
 	centre     *centre
-	syncCentre uint32 // key of the data centre of a sync
+	syncCentre uint32 // key of the data centre, of a sync request
 	deadline   time.Time
 }
 
-// State is the membership protocol of one node as a state machine: it has no
-// sockets, goroutines or clock. It is not safe for concurrent use; Runner
-// guards it.
+// State is the membership protocol of one node as a state machine without sockets, goroutines or
+// a clock. It is not safe for concurrent use; Runner serialises access to it.
 type State struct {
 	cfg Config
 	now time.Time
@@ -50,11 +49,11 @@
 	centres     map[string]*centre
 	centreByKey map[uint32]*centre
 	live        int
-	changeCount uint64 // numbers changes, for entry.order
+	changeCount uint64 // source of entry.changeNumber
 
 	queued      map[*entry]struct{}
 	urgent      map[*entry]struct{}
-	deadReplies []*entry // nodes declared dead, to tell the other side of
+	deadReplies []*entry // dead nodes to report to the peer of this exchange
 	suspects    map[*entry]struct{}
 
 	ringCache    []*entry
@@ -68,14 +67,14 @@
 	indirect       map[string]*indirectProbe
 	sample         healthSample
 	probeRound     []*entry
-	priorityProbes []*entry // to be probed before the cycle goes on
+	priorityProbes []*entry // probed before the round continues
 	health         int
 	nextProbe      time.Time
 	nextPush       time.Time
 	nextSync       time.Time
 	nextCheck      time.Time
 	nextSweep      time.Time
-	graceUntil     time.Time // no suspicion is raised before
+	graceUntil     time.Time // no suspicion is raised before it
 	lastTick       time.Time
 	lastExchange   time.Time // last direct exchange within the data centre
 
@@ -91,8 +90,8 @@
 	stats        Stats
 }
 
-// New returns the state of a node that knows only itself. A zero incarnation
-// in cfg.Self stands for now in Unix milliseconds.
+// New returns the state of a node that knows only itself. A zero incarnation in cfg.Self is
+// replaced by now in Unix milliseconds.
 func New(cfg Config, now time.Time, rnd *rand.Rand) *State {
 	s := &State{
 		cfg:          cfg,
@@ -130,11 +129,10 @@
 	return s
 }
 
-// advance takes the time of an input. A long gap since the last tick means that
-// this process was paused, or the machine's clock stepped: answers that came
-// meanwhile were lost and every timer ran out at once. Judging peers by that
-// would suspect all of them, so the timers move on by the gap, requests under
-// way are forgotten, and no suspicion is raised until peers were heard again.
+// advance sets the time of an input. A long gap since the last tick means that this process was
+// paused or that the machine's clock was stepped: answers that arrived meanwhile are lost, and
+// every timer expires at once, which would make all peers suspect. So timers move on by
+// the gap, pending requests are dropped, and no suspicion is raised for SuspicionGrace.
 func (s *State) advance(now time.Time) {
 	gap := now.Sub(s.lastTick)
 	s.now = now
@@ -165,8 +163,8 @@
 	s.syncAfterPause()
 }
 
-// Tick does what is due and returns the requests to make. It is cheap when
-// nothing is due; call it every 100 ms and after every other input.
+// Tick runs what is due and returns the requests to send. It is cheap if nothing is due; call it
+// every 100 ms and after every other input.
 func (s *State) Tick(now time.Time) []OutgoingRequest {
 	s.advance(now)
 	s.lastTick = now
@@ -204,8 +202,8 @@
 		to:     to,
 		target: m.Target,
 		centre: c,
-		// The caller applies Timeout itself; this is for the case that it
-		// never reports, so that pending stays bounded.
+		// The caller applies Timeout itself. This deadline bounds pending if
+		// the outcome is never reported.
 		deadline: s.now.Add(2 * timeout),
 	}
 	s.outgoing = append(s.outgoing, OutgoingRequest{ID: s.nextID, To: to, Addr: addr, Kind: m.Kind, Msg: m, Timeout: timeout})
@@ -215,7 +213,7 @@
 	return s.nextID
 }
 
-// setSender says who speaks.
+// setSender fills in the sender's fields of a message.
 func (s *State) setSender(m *peerpb.Membership) {
 	m.From = s.self.VM.ID
 	m.Incarnation = s.self.VM.Incarnation
@@ -224,7 +222,7 @@
 	m.Joining = !s.joined
 }
 
-// tickPending forgets requests whose outcome was never reported.
+// tickPending fails requests whose outcome was never reported.
 func (s *State) tickPending() {
 	var late []uint64
 	for id, p := range s.pending {
@@ -232,13 +230,13 @@
 			late = append(late, id)
 		}
 	}
-	slices.Sort(late) // the same order every run, for tests
+	slices.Sort(late) // deterministic order, for tests
 	for _, id := range late {
 		s.requestFailed(id, s.pending[id])
 	}
 }
 
-// HandleFailure takes the failure of a request.
+// HandleFailure handles the failure of a request.
 func (s *State) HandleFailure(now time.Time, id uint64, _ error) {
 	s.advance(now)
 	if p, ok := s.pending[id]; ok {
@@ -246,7 +244,7 @@
 	}
 }
 
-// Cancel takes back a request that was never made, as the runner had no room.
+// Cancel drops a request that the caller did not send, for lack of capacity.
 func (s *State) Cancel(id uint64) {
 	delete(s.pending, id)
 	delete(s.recalling, id)
@@ -264,7 +262,7 @@
 	}
 	switch p.kind {
 	case peerpb.Kind_KIND_PROBE:
-		if !relayed { // else the node that asked for it judges
+		if !relayed { // else the requester decides
 			s.probeFailed(p.to)
 		}
 	case peerpb.Kind_KIND_BRIDGE:
--- a/internal/membership/suspect.go
+++ b/internal/membership/suspect.go
@@ -9,15 +9,15 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// suspicion is kept of a node that observers could not reach.
+// suspicion is the state of a node that observers could not reach.
 type suspicion struct {
 	since      time.Time
-	about      stamp    // what was suspected; a newer record refutes it
-	observers  []uint32 // observers, at most Confirmations of them
+	about      stamp    // the suspected stamp; a newer record refutes it
+	observers  []uint32 // keys of the observers, at most Confirmations
 	raisedHere bool     // this node raised it
 }
 
-// suspect raises a suspicion by this node's own probe.
+// suspect raises a suspicion after a failed probe by this node.
 func (s *State) suspect(e *entry) {
 	if e.rec.State != VMAlive {
 		return
@@ -55,8 +55,7 @@
 	}
 }
 
-// clearSuspicion ends a suspicion; refuted says that the same process proved
-// itself alive.
+// clearSuspicion ends a suspicion; refuted means that the same process proved to be alive.
 func (s *State) clearSuspicion(e *entry, refuted bool) {
 	if e.suspicion == nil {
 		return
@@ -72,7 +71,7 @@
 	s.invalidateView(e)
 }
 
-// acceptClaim takes a claim from a peer.
+// acceptClaim handles a claim from a peer that a node is suspected or dead.
 func (s *State) acceptClaim(c *peerpb.Claim, source uint64) {
 	about := stamp{c.GetIncarnation(), c.GetSequence()}
 	if c.GetId() == s.self.VM.ID {
@@ -84,7 +83,7 @@
 		return
 	}
 	if e.rec.stamp().newer(about) {
-		s.queueRecord(e, 0) // the claim is refuted already: pass on the proof
+		s.queueRecord(e, 0) // already refuted: send the newer record on
 		return
 	}
 	if len(c.GetBy()) > s.cfg.Confirmations {
@@ -97,9 +96,9 @@
 			s.addSuspicion(e, about, c.GetBy())
 		}
 	case e.rec.State == VMAlive && (s.now.Sub(e.lastExchange) < s.cfg.SuspectMin || s.halfSuspected(e.centre)):
-		// We just spoke with it: ask it again, which lets it refute. Or so
-		// many are silent that it looks like a cut to us, if not to the
-		// sender: keep it.
+		// Either this node reached it recently, and a new suspicion gives it
+		// the chance to refute. Or so many nodes are silent that this node
+		// sees a partition, unlike the sender, and keeps the record.
 		s.addSuspicion(e, about, nil)
 	default:
 		s.declareDead(e, about)
@@ -119,16 +118,16 @@
 	}
 }
 
-// suspicionTimeout is how long a suspicion waits for a refutation: the more observers,
-// the shorter, and the less well we are, the longer.
+// suspicionTimeout returns how long a suspicion waits for a refutation: shorter with more
+// observers, longer while this node is unhealthy.
 func (s *State) suspicionTimeout(sp *suspicion) time.Duration {
 	share := math.Log(float64(len(sp.observers)+1)) / math.Log(float64(s.cfg.Confirmations+1))
 	span := s.cfg.SuspectMax - s.cfg.SuspectMin
 	return s.scaleTimeout(s.cfg.SuspectMax - time.Duration(min(share, 1)*float64(span)))
 }
 
-// expireSuspicions declares dead the nodes whose suspicion ran out. Only a node's own
-// data centre does so; the others take its word.
+// expireSuspicions declares nodes dead whose suspicion timed out. This is done only within a
+// node's own data centre; the others accept its claims.
 func (s *State) expireSuspicions() {
 	due := make([]*entry, 0, len(s.suspects))
 	for e := range s.suspects {
@@ -150,8 +149,9 @@
 	}
 }
 
-// checkCutOff notes the data centres that are silent. The own one is cut off
-// when no neighbour was heard, or when too many are suspected to declare them dead.
+// checkCutOff updates the data centres that are cut off because they are silent. The home data
+// centre is cut off if no neighbour has answered, or if too many nodes are suspected to declare
+// them dead.
 func (s *State) checkCutOff() {
 	for _, c := range s.centres {
 		since := c.lastHeard
@@ -181,7 +181,7 @@
 	}
 }
 
-// halfSuspected tells whether at least half of a data centre is suspected.
+// halfSuspected reports whether at least half of a data centre is suspected.
 func (s *State) halfSuspected(c *centre) bool {
 	known := c.live
 	if c == s.home {
@@ -190,7 +190,7 @@
 	return c.suspects > 0 && 2*c.suspects >= known
 }
 
-// oldestSuspicion is when the oldest suspicion in the own data centre began.
+// oldestSuspicion returns the start of the oldest suspicion in the home data centre.
 func (s *State) oldestSuspicion() time.Time {
 	first := s.now
 	for e := range s.suspects {
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -6,18 +6,18 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// buckets is the number of parts into which a sync divides a data centre's
-// records, by the highest bits of their keys.
+// buckets is the number of parts into which a sync divides the records of a data centre, by the
+// highest bits of their keys.
 const buckets = 32
 
 const bucketShift = 64 - 5
 
-// minDifferingExchanges is how many exchanges in a row have to differ before a
-// sync: changes on their way make digests differ for a moment all the time.
+// minDifferingExchanges is the number of consecutive exchanges with different digests before a
+// sync starts: changes in transit make digests differ briefly all the time.
 const minDifferingExchanges = 2
 
-// compareDigests notes whether an answer showed a difference and repairs a lasting
-// one.
+// compareDigests counts the consecutive exchanges with a peer in which digests differed, and
+// starts a sync if the difference lasts.
 func (s *State) compareDigests(peer *entry, m *peerpb.Membership) {
 	if peer == nil {
 		return
@@ -31,8 +31,8 @@
 	threshold, every := minDifferingExchanges, s.cfg.SyncEvery
 	joinedRecently := s.now.Sub(s.own.joinedAt) < s.cfg.LeavingRetention
 	if joinedRecently {
-		// Just joined, perhaps along with a whole data centre, this node
-		// lacks more than what is on its way.
+		// After a join, perhaps together with a whole data centre, this node
+		// lacks more than the changes in transit.
 		threshold, every = 1, every/5
 	}
 	if peer.differing < threshold || s.now.Before(s.nextSync) {
@@ -43,7 +43,8 @@
 		s.startSync(peer, diff[s.rnd.IntN(len(diff))])
 		return
 	}
-	// One that a node of the same herd let in may lack whole data centres.
+	// A node that joined through one that had just started too may lack whole
+	// data centres.
 	for _, key := range diff {
 		s.startSync(peer, key)
 	}
@@ -70,8 +71,8 @@
 	return out
 }
 
-// answerSync answers the first step of a sync with the stamps of the buckets
-// that differ, and the second one with the records asked for.
+// answerSync answers the first step of a sync with the stamps of the buckets that differ, and
+// the second step with the requested records.
 func (s *State) answerSync(m, ans *peerpb.Membership) {
 	if len(m.GetBuckets()) == buckets {
 		s.answerBuckets(m, ans)
@@ -94,8 +95,8 @@
 	s.forEachStamp(c, add)
 }
 
-// continueSync takes the stamps of the other side: it asks for what is newer
-// there, and sends what is newer here.
+// continueSync compares the peer's stamps with the own ones: it requests records that are newer
+// there, and sends those that are newer here.
 func (s *State) continueSync(peer *entry, key uint32, m *peerpb.Membership) {
 	if len(m.GetBuckets()) != buckets || peer == nil || m.GetDataCentre() != key {
 		return
@@ -124,7 +125,7 @@
 	}
 }
 
-// forEachStamp calls f for every live record of a data centre, which may be unknown.
+// forEachStamp calls f for every live record of a data centre; c may be nil.
 func (s *State) forEachStamp(c *centre, f func(key uint64, st stamp)) {
 	if c == nil {
 		return
@@ -153,7 +154,7 @@
 	}
 }
 
-// syncAfterPause asks a few neighbours what happened while this process was paused.
+// syncAfterPause syncs with a few neighbours to catch up after this process was paused.
 func (s *State) syncAfterPause() {
 	const syncPeers = 3
 	for _, e := range shuffled(s, s.peers(), syncPeers) {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,5 +1,5 @@
-// Package membership keeps what a node knows about the other nodes of the
-// mesh and the backend servers beside them.
+// Package membership is the gossip membership protocol of the mesh. It
+// maintains a node's view of the other nodes and of their backend servers.
 package membership
 
 import (
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// VMState is the state of a node as its own record or its observers give it.
+// VMState is the state of a node, from its own record or from the failure
+// detector.
 type VMState uint8
 
 // States of a node.
@@ -19,7 +20,7 @@
 	VMDead
 )
 
-// BackendState is the state that a backend server announces for itself.
+// BackendState is the lifecycle state that a backend server announces.
 type BackendState uint8
 
 // States of a backend server.
@@ -29,8 +30,8 @@
 	BackendDraining
 )
 
-// VM is who a node is and where it is reached. All of it comes from the node's
-// settings, except Incarnation.
+// VM is the identity of a node and its addresses. Everything except
+// Incarnation comes from the node's settings.
 type VM struct {
 	ID          string // unique in the mesh
 	Region      string
@@ -38,29 +39,29 @@
 	ControlAddr string // host:port for messages between nodes
 	CallAddr    string // host:port for calls from other nodes
 	AdminAddr   string // host:port of the admin API
-	// LinkMbps is the rate of the VM's link in Mbit/s; zero if it is not known.
+	// LinkMbps is the rate of the VM's link in Mbit/s; zero if unknown.
 	LinkMbps uint32
-	// Incarnation is larger for every start of a node under the same ID.
+	// Incarnation increases with every start of a node under the same ID.
 	Incarnation uint64
 }
 
-// Backend is one backend server as its node tells of it.
+// Backend is a backend server as published in its node's record.
 type Backend struct {
 	Service  string
 	Instance string // unique on its VM
 	Slots    int
 	State    BackendState
 	// ReadySince is when the backend server became ready, by its node's
-	// clock in Unix milliseconds; the slow start counts from it.
+	// clock in Unix milliseconds; slow start is measured from it.
 	ReadySince int64
-	// Version is that of its software; empty if it tells none.
+	// Version is the software version; empty if not announced.
 	Version string
-	// Canary says that it takes a bounded number of calls, to try its version.
+	// Canary limits the calls to this backend server while its version is tried out.
 	Canary bool
 }
 
-// Notice is a short fact that the whole mesh should know and that expires by
-// itself, such as a quarantined request.
+// Notice is a small item of information that is distributed to the whole mesh
+// until it expires, such as a quarantined request.
 type Notice struct {
 	Kind    string // owned by the package that reads it
 	ID      string
@@ -68,48 +69,50 @@
 	Expires int64 // Unix milliseconds
 }
 
-// Record is what the mesh knows of one node. Only the node itself raises
-// Sequence; a higher (Incarnation, Sequence) replaces a lower one whole.
+// Record is the published state of one node. Only the node itself increases
+// Sequence; a record with a higher (Incarnation, Sequence) replaces the previous
+// record entirely.
 type Record struct {
 	VM       VM
 	Sequence uint64
 	State    VMState
 	Backends []Backend
 	Notices  []Notice
-	// AppliedVersion is the number of the configuration version in force at the
-	// node, and RefusedVersion the newest one that it could not put in force. The hash
-	// is zero where only the number is known.
+	// AppliedVersion is the configuration version in force at the node, and
+	// RefusedVersion the newest version that it could not apply. AppliedHash is
+	// zero if only the version is known.
 	AppliedVersion uint64
 	AppliedHash    [8]byte
 	RefusedVersion uint64
 	RefusedReason  string
 }
 
-// ObservedRecord is a record with what this node itself observed of it.
+// ObservedRecord is a record with this node's own observations of it.
 type ObservedRecord struct {
 	Record
-	// UpdatedAt is when this node last learned anything new about the record.
+	// UpdatedAt is when this node last received a newer version of the record.
 	UpdatedAt time.Time
 }
 
-// View is an immutable picture of the membership. Nodes that are dead are not
-// in it; nodes that cannot be reached because this node is cut off are, with
-// state VMSuspect.
+// View is an immutable snapshot of the membership. Dead nodes are left out;
+// nodes that are unreachable because of a partition are included as VMSuspect.
 type View struct {
 	Self    string
 	Records map[string]*ObservedRecord // by VM ID
-	// CutOff names the data centres from which nothing has been heard for so
-	// long that the cut is taken to lie between them and this node.
+	// CutOff holds the data centres that are considered partitioned from this
+	// node, with the start of the partition. The home data centre in it means
+	// that this node is isolated from most of its neighbours.
 	CutOff map[string]time.Time
 }
 
-// CurrentView holds the current View for readers on the path of a call.
+// CurrentView publishes the latest View to readers on the call path without a
+// lock.
 type CurrentView struct {
 	p        atomic.Pointer[View]
 	onChange atomic.Pointer[func()]
 }
 
-// OnChange sets what is called after each new view. It must not block.
+// OnChange sets a function that is called after each new view. It must not block.
 func (v *CurrentView) OnChange(f func()) { v.onChange.Store(&f) }
 
 // Load returns the current view; it is never nil.
@@ -128,7 +131,7 @@
 	}
 }
 
-// String returns the state's name in the announce and admin APIs.
+// String returns the name of the state in the announce and admin APIs.
 func (s BackendState) String() string {
 	switch s {
 	case BackendStarting:
@@ -141,7 +144,7 @@
 	return fmt.Sprintf("BackendState(%d)", uint8(s))
 }
 
-// String returns the state in a word.
+// String returns the name of the state.
 func (s VMState) String() string {
 	switch s {
 	case VMAlive:
