--- a/internal/announce/departed_test.go
+++ b/internal/announce/departed_test.go
@@ -8,21 +8,20 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// numbered is a heartbeat of an instance that numbers them and tells no start.
+// numbered returns an announcement with a sequence but without a start.
 func numbered(sequence uint64, s membership.BackendState) Announcement {
 	a := berth("a", "127.0.0.1:1")
 	a.Sequence, a.State = sequence, s
 	return a
 }
 
-// A node is restarted while its backend server leaves. The first that the new process
-// hears of it is its word to leave, which is acknowledged. Then a heartbeat arrives that
-// was sent before: the backend server was taken for a new one, and got calls three
-// seconds after it was told that none would come.
+// Guards against a late heartbeat that brings back an instance after its withdrawal was
+// acknowledged, where the withdrawal was the first message that a restarted node received from
+// it.
 func TestWithdrawalOfUnknownInstanceIsRemembered(t *testing.T) {
 	for name, before := range map[string]func(*Registry){
-		"unheard of": func(*Registry) {},
-		"known by a probe alone, which has no number": func(r *Registry) {
+		"unknown": func(*Registry) {},
+		"known only by a probe, which has no sequence": func(r *Registry) {
 			put(t, r, start, berth("a", "127.0.0.1:1"))
 		},
 	} {
@@ -34,7 +33,7 @@
 				t.Errorf("a late heartbeat: got %v", err)
 			}
 			if _, err := r.Put(start, berth("a", "127.0.0.1:1")); !errors.Is(err, ErrStale) {
-				t.Errorf("a probe that was answered late: got %v", err)
+				t.Errorf("a late answer to a probe: got %v", err)
 			}
 			if l := r.Load(); len(l) > 0 {
 				t.Errorf("held: %+v", l)
@@ -43,9 +42,8 @@
 	}
 }
 
-// A backend server says that it drains, and is cut off with its node's other traffic until
-// its lease ends. Then a heartbeat arrives that was sent before the drain. It brought the
-// backend server back as ready, with an acknowledged drain behind it.
+// Guards against a heartbeat from before the drain that arrives after the lease expired behind a
+// partition and puts the backend server back into service, although its drain was acknowledged.
 func TestDrainingIsRememberedAfterExpiry(t *testing.T) {
 	r := NewRegistry(Limits{TTL: time.Second, MaxBackends: 4, NoInstanceReuse: true})
 	r.Expire(start)
@@ -61,8 +59,8 @@
 	}
 }
 
-// Where names are used again, a backend server that left and starts anew under its name
-// must come back into service at once.
+// Where instance names are reused, a backend server that left and starts again under its name
+// must return to service at once.
 func TestInstanceNamesCanBeReused(t *testing.T) {
 	r := NewRegistry(Limits{TTL: time.Minute, MaxBackends: 4})
 	r.Withdraw(Withdrawal{Instance: "a"})
--- a/internal/announce/incarnation_test.go
+++ b/internal/announce/incarnation_test.go
@@ -9,7 +9,7 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// message is one thing that an incarnation says, and may arrive late or twice.
+// message is one message of an incarnation, which may arrive late or twice.
 type message struct {
 	leaves   bool
 	started  int64
@@ -17,10 +17,10 @@
 	state    membership.BackendState
 }
 
-// A backend server crashes, leaves and comes back under its id several times, and the
-// network delays and doubles what it says. Whatever the order, the node must end up
-// with the newest incarnation that lives, and with none if that one has left: else
-// calls would go to a process that is gone, or a living one would stay out of service.
+// A backend server crashes, leaves and restarts under its ID several times, while the network
+// delays, reorders and duplicates its messages. The node must end up with the newest
+// incarnation, or with none if that one has left; otherwise calls go to a process that is gone,
+// or a live one stays out of service.
 func TestNewestIncarnationWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent, newest := incarnations(t)
@@ -34,7 +34,7 @@
 			}
 			a := berth("a", "127.0.0.1:1")
 			a.Started, a.Sequence, a.State = w.started, w.sequence, w.state
-			_, _ = r.Put(now, a) // late ones are refused
+			_, _ = r.Put(now, a) // refused if late
 		}
 		delivered := rapid.Permutation(append(sent[:len(sent):len(sent)], sent...)).Draw(t, "late")
 		received, left := int64(0), int64(0)
@@ -46,11 +46,11 @@
 			}
 			for _, b := range r.Load() {
 				if b.Started < received || b.Started <= left {
-					t.Fatalf("holds %d after %d was heard and %d had left", b.Started, received, left)
+					t.Fatalf("holds %d after %d was received and %d had left", b.Started, received, left)
 				}
 			}
 		}
-		// The newest goes on, and what it says arrives at last, in its order.
+		// Finally the messages of the newest one arrive in order.
 		for _, w := range newest {
 			receive(w)
 		}
@@ -65,7 +65,7 @@
 	})
 }
 
-// incarnations returns what all of them say, and what the newest says, in its order.
+// incarnations returns the messages of all incarnations, and those of the newest one, in order.
 func incarnations(t *rapid.T) (all, newest []message) {
 	for n := range rapid.IntRange(1, 4).Draw(t, "incarnations") {
 		newest = newest[:0:0]
--- a/internal/announce/property_test.go
+++ b/internal/announce/property_test.go
@@ -14,8 +14,8 @@
 
 func TestMain(m *testing.M) { testseed.Main(m, nil) }
 
-// Whatever comes in which order: no address and no instance stands twice, the
-// bound holds, and whoever's lease has run out is gone after Expire.
+// In any order of events: no address and no instance occurs twice, the limit holds, and Expire
+// removes every expired lease.
 func TestRegistryInvariants(t *testing.T) {
 	const limit = 4
 	rapid.Check(t, func(t *rapid.T) {
@@ -47,12 +47,12 @@
 
 func checkInvariants(t *rapid.T, list []Backend, limit int) {
 	if len(list) > limit {
-		t.Fatalf("%d held", len(list))
+		t.Fatalf("holds %d", len(list))
 	}
 	addresses := make(map[netip.AddrPort]bool)
 	for i, b := range list {
 		if addresses[b.Address] || (i > 0 && list[i-1].Instance >= b.Instance) {
-			t.Fatalf("the list is %+v", list)
+			t.Fatalf("duplicate or unsorted: %+v", list)
 		}
 		addresses[b.Address] = true
 		if b.ReadySince.IsZero() == (b.State == membership.BackendReady) {
@@ -68,7 +68,7 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		a, err := ParseAddress(s)
 		if err == nil && (!a.Addr().IsLoopback() || a.Port() == 0) {
-			t.Errorf("%q was taken as %v", s, a)
+			t.Errorf("%q was accepted as %v", s, a)
 		}
 	})
 }
--- a/internal/announce/registry.go
+++ b/internal/announce/registry.go
@@ -177,7 +177,7 @@
 		r.publish(slices.Insert(list, at, b))
 		return append(changes, Change{Kind: Added, Backend: b}), nil
 	}
-	kind, was := classifyChange(list[at], a), list[at].State
+	kind, previous := classifyChange(list[at], a), list[at].State
 	old := &list[at]
 	if kind == Replaced {
 		old = nil
@@ -185,7 +185,7 @@
 	b.ReadySince = readySince(now, old, a)
 	list[at] = b
 	r.publish(list)
-	return append(changes, Change{Kind: kind, Backend: b, PreviousState: was}), nil
+	return append(changes, Change{Kind: kind, Backend: b, PreviousState: previous}), nil
 }
 
 // evictAtAddress returns a copy of the list without any other instance at the address.
--- a/internal/announce/registry_test.go
+++ b/internal/announce/registry_test.go
@@ -105,10 +105,10 @@
 		_, err := r.Put(start, a)
 		var f *FieldError
 		if !errors.As(err, &f) || f.Field != test.field {
-			t.Errorf("%+v: got %v, want a fault of %s", a, err, test.field)
+			t.Errorf("%+v: got %v, want an error of field %s", a, err, test.field)
 		}
 		if len(r.Load()) != 0 {
-			t.Errorf("%+v was taken in", a)
+			t.Errorf("%+v was accepted", a)
 		}
 	}
 }
@@ -132,9 +132,8 @@
 	wantKinds(t, put(t, r, start, berth("a", "127.0.0.1:1")), Renewed)
 }
 
-// A backend server crashes and returns at once under a new instance name on its
-// old port. Callers would see it get twice its calls until the old lease ends,
-// because both entries lead to the one process.
+// Guards against double load on a backend server that crashes and returns under a new instance
+// name on its old port: until the old lease expires, both entries would lead to the one process.
 func TestSameAddressReplacesInstance(t *testing.T) {
 	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: 1})
 	put(t, r, start, berth("old", "127.0.0.1:1"))
@@ -144,9 +143,9 @@
 	}
 }
 
-// A backend server restarts on another port. The old process withdraws after
-// the new one has announced itself, and takes the new one out of the mesh: its
-// callers are refused until the next renewal.
+// Guards against a restarted backend server that is removed, and whose callers are refused until
+// its next renewal, because the old process withdraws after the new one announced itself on
+// another port.
 func TestLateWithdrawalKeepsSuccessor(t *testing.T) {
 	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
 	old, successor := berth("a", "127.0.0.1:1"), berth("a", "127.0.0.1:2")
@@ -154,7 +153,7 @@
 	put(t, r, start, successor)
 	wantKinds(t, r.Withdraw(Withdrawal{Instance: "a", Address: old.Address}))
 	if len(r.Load()) != 1 {
-		t.Fatal("the successor is gone")
+		t.Fatal("the successor was removed")
 	}
 	wantKinds(t, r.Withdraw(Withdrawal{Instance: "a", Address: successor.Address}), Withdrawn)
 	wantKinds(t, r.Withdraw(Withdrawal{Instance: "a"}))
@@ -171,13 +170,12 @@
 	}
 	wantKinds(t, gone, Expired)
 	if gone[0].Backend.Instance != "silent" || len(r.Load()) != 1 {
-		t.Errorf("gone %+v, left %+v", gone, r.Load())
+		t.Errorf("removed %+v, remaining %+v", gone, r.Load())
 	}
 }
 
-// The VM stands still for a minute and goes on. No renewal could arrive, so
-// every lease has run out: the node takes all its backend servers out of the
-// mesh although all are well, and callers are refused.
+// Guards against a node that is paused for a minute and then removes all its healthy backend
+// servers, because no renewal could arrive and every lease expired.
 func TestPauseOfTheNodeExpiresNothing(t *testing.T) {
 	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: DefaultMaxBackends})
 	put(t, r, start, berth("a", "127.0.0.1:1"))
@@ -185,7 +183,7 @@
 	back := start.Add(time.Minute)
 	wantKinds(t, r.Expire(back))
 	if len(r.Load()) != 1 {
-		t.Fatal("expired by the pause")
+		t.Fatal("expired because of the pause")
 	}
 	r.Expire(back.Add(DefaultTTL / 2))
 	wantKinds(t, r.Expire(back.Add(DefaultTTL)), Expired)
@@ -221,9 +219,9 @@
 	}
 }
 
-// A backend server crashes behind a cut. Another starts at its address. Then the
-// cut heals, and the heartbeats of the first arrive: taken in, they would bring
-// back an instance that is gone, and calls meant for it would be refused.
+// Guards against heartbeats of a crashed instance that arrive after a partition, when another
+// instance has its address: accepted, they would bring back the old instance, and its calls
+// would be refused.
 func TestLateAnnouncementsChangeNothing(t *testing.T) {
 	r := NewRegistry(Limits{TTL: time.Minute, MaxBackends: 4, AllowNonLoopback: true})
 	now := time.Unix(1000, 0)
--- a/internal/announce/server_test.go
+++ b/internal/announce/server_test.go
@@ -65,7 +65,7 @@
 	}
 	want := []ChangeKind{Added, Changed, Withdrawn}
 	if len(reported) != 3 || reported[0] != want[0] || reported[1] != want[1] || reported[2] != want[2] {
-		t.Errorf("told of %v, want %v", reported, want)
+		t.Errorf("reported %v, want %v", reported, want)
 	}
 }
 
@@ -87,7 +87,7 @@
 	}
 	r := NewRegistry(Limits{TTL: DefaultTTL, MaxBackends: 1})
 	put(t, r, start, berth("held", "127.0.0.1:9"))
-	url := serve(t, NewServer(r, time.Now, func([]Change) { t.Error("the mesh was told") }))
+	url := serve(t, NewServer(r, time.Now, func([]Change) { t.Error("onChange was called") }))
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			req, _ := http.NewRequest(http.MethodPut, url+"/backends/"+test.instance, strings.NewReader(test.body))
--- a/internal/membership/bounds_test.go
+++ b/internal/membership/bounds_test.go
@@ -29,27 +29,27 @@
 func TestRefusedRecords(t *testing.T) {
 	long := strings.Repeat("x", 257)
 	tests := map[string]func(*peerpb.Record){
-		"no id":               func(r *peerpb.Record) { r.Id = "" },
-		"no data centre":      func(r *peerpb.Record) { r.DataCentre = "" },
-		"no incarnation":      func(r *peerpb.Record) { r.Incarnation = 0 },
-		"unknown state":       func(r *peerpb.Record) { r.State = 9 },
-		"says itself dead":    func(r *peerpb.Record) { r.State = uint32(VMDead) },
-		"long id":             func(r *peerpb.Record) { r.Id = long },
-		"long address":        func(r *peerpb.Record) { r.CallAddr = long },
-		"long reason":         func(r *peerpb.Record) { r.RefusedReason = long },
-		"long hash":           func(r *peerpb.Record) { r.AppliedHash = make([]byte, 9) },
-		"many backends":       func(r *peerpb.Record) { r.Backends = make([]*peerpb.Backend, 65) },
-		"many notices":        func(r *peerpb.Record) { r.Notices = make([]*peerpb.Notice, 33) },
-		"long service":        func(r *peerpb.Record) { r.Backends = []*peerpb.Backend{{Service: long, State: 1}} },
-		"backend of no state": func(r *peerpb.Record) { r.Backends = []*peerpb.Backend{{Service: "s"}} },
-		"too many slots":      func(r *peerpb.Record) { r.Backends = []*peerpb.Backend{{State: 1, Slots: maxSlots + 1}} },
-		"long notice":         func(r *peerpb.Record) { r.Notices = []*peerpb.Notice{{Detail: long}} },
+		"no id":                 func(r *peerpb.Record) { r.Id = "" },
+		"no data centre":        func(r *peerpb.Record) { r.DataCentre = "" },
+		"no incarnation":        func(r *peerpb.Record) { r.Incarnation = 0 },
+		"unknown state":         func(r *peerpb.Record) { r.State = 9 },
+		"declares itself dead":  func(r *peerpb.Record) { r.State = uint32(VMDead) },
+		"long id":               func(r *peerpb.Record) { r.Id = long },
+		"long address":          func(r *peerpb.Record) { r.CallAddr = long },
+		"long reason":           func(r *peerpb.Record) { r.RefusedReason = long },
+		"long hash":             func(r *peerpb.Record) { r.AppliedHash = make([]byte, 9) },
+		"many backends":         func(r *peerpb.Record) { r.Backends = make([]*peerpb.Backend, 65) },
+		"many notices":          func(r *peerpb.Record) { r.Notices = make([]*peerpb.Notice, 33) },
+		"long service":          func(r *peerpb.Record) { r.Backends = []*peerpb.Backend{{Service: long, State: 1}} },
+		"backend without state": func(r *peerpb.Record) { r.Backends = []*peerpb.Backend{{Service: "s"}} },
+		"too many slots":        func(r *peerpb.Record) { r.Backends = []*peerpb.Backend{{State: 1, Slots: maxSlots + 1}} },
+		"long notice":           func(r *peerpb.Record) { r.Notices = []*peerpb.Notice{{Detail: long}} },
 	}
-	for name, spoil := range tests {
+	for name, invalidate := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := newTestState(nil)
 			bad := goodRecord()
-			spoil(bad)
+			invalidate(bad)
 			msg := &peerpb.Membership{Kind: peerpb.Kind_KIND_PUSH, From: "vm-2", Records: []*peerpb.Record{bad, goodRecord()}}
 			s.HandleRequest(epoch, "vm-2", msg)
 			if st := s.Stats(); st.Refused != 1 || st.Records != 2 {
@@ -71,8 +71,8 @@
 	}
 }
 
-// A peer sends a full state of a few bytes that unpacks to gigabytes. Taken
-// without a bound it would kill the joining node, and again at each restart.
+// Guards against a full state of a few bytes that decompresses to gigabytes and kills the
+// joining node, and again at each restart.
 func TestFullStateIsBounded(t *testing.T) {
 	s := newTestState(func(c *Config) { c.Limits.FullStateBytes = 1 << 20 })
 	bomb, err := compress(make([]byte, 8<<20))
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	if s.mergeFullState(bomb, 0) {
-		t.Error("taken")
+		t.Error("accepted")
 	}
 }
 
@@ -94,8 +94,7 @@
 	}
 }
 
-// A message under another name than the one that its certificate gives must
-// change nothing.
+// A message whose sender differs from the name in its certificate must change nothing.
 func TestForeignSenderIsRefused(t *testing.T) {
 	s := newTestState(nil)
 	s.HandleRequest(epoch, "vm-3", &peerpb.Membership{Kind: peerpb.Kind_KIND_PUSH, From: "vm-2", Records: []*peerpb.Record{goodRecord()}})
@@ -104,15 +103,15 @@
 	}
 }
 
-// A claim with a sequence that this node never made can't make it raise its
-// record to any number that a peer likes.
+// Guards against a claim with a forged sequence that makes this node publish any sequence a peer
+// likes.
 func TestOnlyTheOwnerRaisesSequence(t *testing.T) {
 	s := newTestState(nil)
 	before := s.self.stamp()
 	forged := &peerpb.Claim{Id: "vm-0", Incarnation: before.incarnation, Sequence: 1 << 60}
 	s.HandleRequest(epoch, "vm-2", &peerpb.Membership{Kind: peerpb.Kind_KIND_PUSH, From: "vm-2", Claims: []*peerpb.Claim{forged}})
 	if s.self.stamp() != before {
-		t.Errorf("raised to %v", s.self.stamp())
+		t.Errorf("published %v", s.self.stamp())
 	}
 	forged.Sequence = before.sequence
 	s.HandleRequest(epoch, "vm-2", &peerpb.Membership{Kind: peerpb.Kind_KIND_PUSH, From: "vm-2", Claims: []*peerpb.Claim{forged}})
@@ -130,7 +129,7 @@
 		if len(ans.GetFull()) > 0 {
 			served++
 		} else if ans.GetRetryAfterMs() == 0 {
-			t.Fatal("refused without a time to come back")
+			t.Fatal("refused without a retry time")
 		}
 	}
 	if served != int(s.cfg.JoinBurst) {
@@ -138,7 +137,7 @@
 	}
 }
 
-// Messages are as large as the budget allows, whatever there is to tell.
+// Messages must use the budget and stay within it, however many records are queued.
 func TestMessagesKeepTheBudget(t *testing.T) {
 	w := newConvergedMesh(60, nil)
 	for _, v := range w.nodes {
@@ -154,7 +153,7 @@
 	}
 }
 
-// FuzzHandle feeds a node any bytes that decode, as request and as answer.
+// FuzzHandle feeds a node arbitrary decodable messages, as requests and as answers.
 func FuzzHandle(f *testing.F) {
 	good, err := proto.Marshal(&peerpb.Membership{
 		Kind: peerpb.Kind_KIND_SYNC, From: "vm-1", Records: []*peerpb.Record{goodRecord()},
@@ -187,7 +186,7 @@
 	})
 }
 
-// newPopulatedState returns a state with n records of others.
+// newPopulatedState returns a state with n records of other nodes.
 func newPopulatedState(n int) *State {
 	s := newTestState(nil)
 	for i := range n {
@@ -219,7 +218,7 @@
 	}
 }
 
-// BenchmarkHeap reports the heap that one state with its view keeps.
+// BenchmarkHeap reports the heap used by one state with its view.
 func BenchmarkHeap(b *testing.B) {
 	for _, n := range []int{12, 108, 240, 300, 600, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/membership/contacts_fuzz_test.go
+++ b/internal/membership/contacts_fuzz_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// FuzzContactRows holds that whatever stands in a row of contacts ends no node, names no node
-// to ask that has no address, and hides none of the good rows beside it.
+// FuzzContactRows checks that no content of a contact row crashes a node, yields a contact
+// without an address, or hides the valid rows beside it.
 func FuzzContactRows(f *testing.F) {
 	f.Add([]byte(`{"ID":"vm-2","DataCentre":"dc-1","ControlAddr":"10.0.0.2:7000"}`), "contact/dc-1/vm-2")
 	f.Add([]byte(`{"ID":7}`), "contact//")
@@ -35,7 +35,7 @@
 		for _, c := range s.contacts {
 			there = there || c == good.Contact
 			if c.ControlAddr == "" {
-				t.Errorf("%q in %q names a node without an address", value, key)
+				t.Errorf("%q in %q yields a contact without an address", value, key)
 			}
 		}
 		if !there {
--- a/internal/membership/contacts_start_test.go
+++ b/internal/membership/contacts_start_test.go
@@ -12,8 +12,7 @@
 	"github.com/rs/zerolog"
 )
 
-// slowTable is a table of contacts that takes its time, as the platform's store does, and
-// counts its calls.
+// slowTable is a contact store with the latency of the platform's store that counts its calls.
 type slowTable struct {
 	*memoryNetwork
 	lists, puts atomic.Int64
@@ -36,16 +35,15 @@
 	return s.memoryNetwork.Put(ctx, c)
 }
 
-// All VMs of a mesh start at one moment, with nothing but an empty table to find each other
-// by. Each looked at it at once, found nobody, wrote its own row and had to look again: three
-// calls to the platform a node, most of a day's calls where there are hundreds. Thirty nodes
-// a data centre must do with half of that, and know each other as soon.
+// Guards against a mesh whose nodes all start at once with an empty contact table and each make
+// three calls to the platform: read, find no row, write a row, read again. Sixty nodes must need
+// half of that.
 func TestSimultaneousStartWritesFewContacts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 60
 		table := &slowTable{memoryNetwork: &memoryNetwork{peers: map[string]*Runner{}, rows: map[string]ContactRow{}}}
 		ctx, cancel := context.WithCancel(t.Context())
-		var running sync.WaitGroup
+		var runners sync.WaitGroup
 		var views [n]CurrentView
 		for i := range n {
 			vm := VM{ID: fmt.Sprintf("vm-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%2), ControlAddr: fmt.Sprintf("host-%d:7000", i)}
@@ -53,9 +51,9 @@
 			table.peers[vm.ControlAddr] = r
 		}
 		for _, r := range table.peers {
-			running.Go(func() { _ = r.Run(ctx) })
+			runners.Go(func() { _ = r.Run(ctx) })
 		}
-		time.Sleep(12 * time.Second) // two syncs, which find the last record that is lacking
+		time.Sleep(12 * time.Second) // two syncs, which fetch the last missing record
 		for i := range views {
 			if got := len(views[i].Load().Records); got != n {
 				t.Errorf("vm-%d sees %d nodes", i, got)
@@ -67,6 +65,6 @@
 			t.Errorf("%d nodes: %d lists, %d rows written", n, lists, puts)
 		}
 		cancel()
-		running.Wait()
+		runners.Wait()
 	})
 }
--- a/internal/membership/contacts_test.go
+++ b/internal/membership/contacts_test.go
@@ -9,7 +9,7 @@
 	"github.com/marlpass/marlpass/internal/platform"
 )
 
-// rows is a table without conditions.
+// rows is a platform table that ignores conditions.
 type rows map[string][]byte
 
 func (r rows) Get(context.Context, string) (platform.Row, error) {
@@ -43,13 +43,13 @@
 		t.Fatal(err)
 	}
 	if _, ok := table["contact/dc-1/vm-1"]; !ok {
-		t.Errorf("written elsewhere: %v", table)
+		t.Errorf("row not under its key: %v", table)
 	}
 	got, err := contacts.List(t.Context())
 	if err != nil || len(got) != 1 || got[0] != want {
 		t.Errorf("listed %v, %v", got, err)
 	}
 	if err := contacts.Remove(t.Context(), want.Contact); err != nil || len(table) != 2 {
-		t.Errorf("left %v, %v", table, err)
+		t.Errorf("remaining: %v, %v", table, err)
 	}
 }
--- a/internal/membership/converge_test.go
+++ b/internal/membership/converge_test.go
@@ -12,6 +12,6 @@
 		if !ok {
 			t.Errorf("%d nodes: %s", n, w.divergence())
 		}
-		t.Logf("%d nodes settled in %v, %d messages, %d bytes", n, took, w.messages, w.bytes)
+		t.Logf("%d nodes converged in %v, %d messages, %d bytes", n, took, w.messages, w.bytes)
 	}
 }
--- a/internal/membership/death_sample.go
+++ b/internal/membership/death_sample.go
@@ -45,10 +45,10 @@
 	if r.probed == 0 {
 		return false
 	}
-	known := s.home.live + 1
-	open := known - 1 - s.home.suspects
-	well := 1 + float64(open)*float64(r.answered)/float64(r.probed)
-	return 2*well > float64(known)
+	total := s.home.live + 1
+	unsuspected := total - 1 - s.home.suspects
+	alive := 1 + float64(unsuspected)*float64(r.answered)/float64(r.probed)
+	return 2*alive > float64(total)
 }
 
 func (s *State) startSample() {
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -9,7 +9,7 @@
 	t.Helper()
 	took, ok := w.runUntil(limit, w.converged)
 	if !ok {
-		t.Fatalf("not settled: %s", w.divergence())
+		t.Fatalf("not converged: %s", w.divergence())
 	}
 	return took
 }
@@ -23,10 +23,9 @@
 	return n
 }
 
-// A process is stopped for two minutes (a VM is moved, a debugger holds it).
-// When it goes on, every timer of it has run out and every answer is lost. A
-// user would see it turn away from all its peers at once. It must suspect none
-// of them, and the others, who declared it dead meanwhile, must see it again.
+// Guards against a process that was paused for two minutes (a moved VM, a debugger) and then
+// suspects all its peers, because every timer has expired and every answer was lost. The others,
+// which declared it dead, must see it again.
 func TestPausedProcess(t *testing.T) {
 	w := newConvergedMesh(30, nil)
 	v := w.nodes[7]
@@ -48,11 +47,9 @@
 	}
 }
 
-// The links of a data centre to all others are cut for five minutes. Its
-// backend servers are well, and callers on either side may reach them again at
-// any moment. If the sides declared each other dead, every route across would be
-// forgotten and have to be learned anew after the cut. Both must keep the last
-// endpoints as suspects and say since when.
+// Guards against losing the endpoints on the other side of a partition. A data centre is cut off
+// for five minutes while its backend servers are healthy. Both sides must keep the last
+// endpoints as suspects and report since when the other side is cut off.
 func TestCutOffDataCentreKeepsEndpoints(t *testing.T) {
 	w := newConvergedMesh(25, nil)
 	w.delayMax = 400 * time.Millisecond
@@ -70,11 +67,11 @@
 			others = 4
 		}
 		if len(view.CutOff) != others {
-			t.Fatalf("%s says %v are cut off", v.info.ID, view.CutOff)
+			t.Fatalf("%s reports %v as cut off", v.info.ID, view.CutOff)
 		}
 		for _, since := range view.CutOff {
 			if d := since.Sub(begin).Abs(); d > time.Minute {
-				t.Errorf("cut off since %v from the cut", d)
+				t.Errorf("reported start of the partition is off by %v", d)
 			}
 		}
 		for id, r := range view.Records {
@@ -91,28 +88,27 @@
 	}
 }
 
-// One node loses its network. From inside it looks as if every other node had
-// died. It must keep them all as suspects, while the others declare it dead.
+// One node loses its network, so that every other node appears dead to it. It must keep them all
+// as suspects, while the others declare it dead.
 func TestCutOffNode(t *testing.T) {
 	w := newConvergedMesh(25, nil)
-	lone := w.nodes[11]
-	w.partitioned = func(a, b *vm) bool { return a == lone || b == lone }
+	isolated := w.nodes[11]
+	w.partitioned = func(a, b *vm) bool { return a == isolated || b == isolated }
 	w.run(5 * time.Minute)
-	view := lone.View(w.now)
+	view := isolated.View(w.now)
 	if len(view.Records) != len(w.nodes) || suspected(view) != len(w.nodes)-1 || len(view.CutOff) != 5 {
-		t.Errorf("it keeps %d records, %d of them suspects, and says %d data centres are cut off",
+		t.Errorf("it keeps %d records, %d of them suspects, and reports %d data centres as cut off",
 			len(view.Records), suspected(view), len(view.CutOff))
 	}
-	if _, known := w.nodes[0].View(w.now).Records[lone.info.ID]; known {
+	if _, known := w.nodes[0].View(w.now).Records[isolated.info.ID]; known {
 		t.Error("the others did not declare it dead")
 	}
 	w.partitioned = nil
 	w.mustConverge(t, time.Minute)
 }
 
-// A rack with 3 of a data centre's 10 nodes burns down. Unlike in a cut, most
-// of the data centre is well, so the dead have to go and not stay as suspects
-// for a day.
+// A rack with 3 of a data centre's 10 nodes fails. Unlike in a partition, most of the data
+// centre is alive, so the dead nodes must be removed and not be kept as suspects for a day.
 func TestRackFailureIsDeclaredDead(t *testing.T) {
 	w := newConvergedMesh(50, nil)
 	for i := 0; i < 15; i += 5 {
@@ -122,10 +118,10 @@
 	t.Logf("declared dead everywhere after %v", took)
 }
 
-// Three quarters of a data centre lose power and come back together a minute
-// later with empty memory. The rest must keep their records, since it looks
-// like a cut, and must not be swamped by full states: joins are bounded, the
-// refused come back after a random wait or are referred to others.
+// Three quarters of a data centre lose power and return a minute later with empty state. The
+// other nodes must keep their records, since it looks like a partition, and must not be
+// overloaded by full states: joins are limited, and refused nodes retry after a random wait or
+// are referred to others.
 func TestMassRestartKeepsRecords(t *testing.T) {
 	w := newConvergedMesh(60, nil)
 	var gone []*vm
@@ -155,7 +151,7 @@
 	}
 	took := w.mustConverge(t, 2*time.Minute)
 	refused := w.total(func(s Stats) uint64 { return s.JoinsRefused })
-	t.Logf("joined after %v, settled after %v more, %d joins refused", joined, took, refused)
+	t.Logf("joined after %v, converged after %v more, %d joins refused", joined, took, refused)
 	for _, v := range gone {
 		if r := v.Recall(); r.Version != 1000 || !r.Done || r.Answered == 0 {
 			t.Errorf("%s recalls %+v", v.info.ID, r)
@@ -163,10 +159,9 @@
 	}
 }
 
-// A VM is replaced: the new one has another ID under the same address. Probes
-// for the old one are answered, by the new one. If such an answer counted, the
-// old record would live on and callers would go on asking the address for
-// services that it no longer holds.
+// A VM is replaced by one with another ID at the same address. If answers of the new one to
+// probes for the old one counted, the old record would be kept and callers would be sent to
+// services that are gone.
 func TestReplacedUnderTheSameAddress(t *testing.T) {
 	w := newConvergedMesh(30, nil)
 	old := w.nodes[4]
@@ -180,10 +175,10 @@
 	w.mustConverge(t, 2*time.Minute)
 }
 
-// A VM is taken for dead and replaced under its ID, but its process still
-// runs. Both go on raising the one record, and the endpoints of the two would
-// take turns in every view. The later start must win, the former must say that
-// it was superseded, and the record must come to rest.
+// A VM is declared dead and replaced under its ID while its process still runs. Without a
+// winner, both processes would publish higher records forever and alternate in every view. The
+// later start must win, the earlier one must report itself superseded, and the record must
+// become stable.
 func TestTwoProcessesUnderOneID(t *testing.T) {
 	w := newConvergedMesh(30, nil)
 	w.run(2 * time.Minute)
@@ -191,10 +186,10 @@
 	fresh := w.add(old.info.ID, old.info.DataCentre, old.info.Region)
 	w.run(2 * time.Minute)
 	if _, yes := old.Superseded(); !yes || old.Stats().DuplicateIDs == 0 {
-		t.Error("the former process does not know")
+		t.Error("the earlier process does not report itself superseded")
 	}
 	if _, yes := fresh.Superseded(); yes {
-		t.Error("the later process gave way")
+		t.Error("the later process reports itself superseded")
 	}
 	rest := fresh.self.stamp()
 	w.run(time.Minute)
@@ -209,9 +204,9 @@
 	}
 }
 
-// A VM is rebuilt with a clock an hour slow. Its incarnation, the time of its
-// start, is below the one that its peers remember, so they would ignore all
-// that it says and show its old backend servers.
+// A VM is rebuilt with a clock an hour slow. Its incarnation, the time of its start, is below
+// the one that peers remember; they must not ignore its records and keep showing its old backend
+// servers.
 func TestRestartWithASlowClock(t *testing.T) {
 	w := newConvergedMesh(30, func(c *Config) { c.Self.Incarnation = uint64(epoch.UnixMilli()) })
 	v := w.nodes[4]
@@ -224,10 +219,9 @@
 	}
 }
 
-// A VM dies, is buried, and is rebuilt with a clock an hour slow, or the dead
-// one's was an hour fast. Its peers no longer show its record but remember the
-// burial, which is above all that the new process says. A user would see its
-// backend servers get no calls for as long as tombstones are kept.
+// A VM dies, is declared dead, and is rebuilt with a clock an hour slow. Its peers remember only
+// the tombstone, which is higher than the new incarnation. Its backend servers must not stay
+// without calls until tombstones expire.
 func TestDeadThenRestartedWithASlowClock(t *testing.T) {
 	w := newConvergedMesh(30, func(c *Config) { c.Self.Incarnation = uint64(epoch.UnixMilli()) })
 	v := w.nodes[4]
@@ -235,7 +229,7 @@
 	w.stop(v)
 	w.run(2 * time.Minute)
 	if _, known := w.nodes[2].View(w.now).Records[v.info.ID]; known {
-		t.Fatal("a node silent for two minutes is not buried")
+		t.Fatal("a node is not declared dead after two minutes of silence")
 	}
 	w.configure = func(c *Config) { c.Self.Incarnation = uint64(epoch.Add(-time.Hour).UnixMilli()) }
 	w.start(v)
@@ -245,39 +239,37 @@
 	}
 }
 
-// A whole data centre loses its power while it is cut off, and its VMs come back
-// with clocks an hour behind those of before. Nobody there remembers them; three
-// minutes later the cut ends, and the others tell each its former record. Each
-// would take that for a later process under its ID and take no more calls.
+// A whole data centre restarts while it is cut off, with clocks an hour behind. When the
+// partition heals, the others send each node its former record. The nodes must not take that for
+// a later process under their ID and report themselves superseded.
 func TestRestartWithSlowClocksWhileCutOff(t *testing.T) {
 	w := newConvergedMesh(30, func(c *Config) { c.Self.Incarnation = uint64(epoch.Add(time.Hour).UnixMilli()) })
 	w.configure = nil
 	cut := w.nodes[0].info.DataCentre
 	w.partitioned = func(a, b *vm) bool { return (a.info.DataCentre == cut) != (b.info.DataCentre == cut) }
-	var herd []*vm
+	var restarted []*vm
 	for _, v := range w.nodes {
 		if v.info.DataCentre == cut {
-			herd = append(herd, v)
+			restarted = append(restarted, v)
 			w.stop(v)
 		}
 	}
 	w.run(10 * time.Second)
-	for _, v := range herd {
+	for _, v := range restarted {
 		w.start(v)
 	}
 	w.run(3 * time.Minute)
 	w.partitioned = nil
 	w.mustConverge(t, 2*time.Minute)
-	for _, v := range herd {
+	for _, v := range restarted {
 		if _, yes := v.Superseded(); yes {
-			t.Errorf("%s gave way to its own past", v.info.ID)
+			t.Errorf("%s takes its former process for a later one", v.info.ID)
 		}
 	}
 }
 
-// A node leaves while a part of the mesh is cut off and then comes back with
-// the old record. The record must not bring the node back, and while it drains
-// nobody may suspect it.
+// A node leaves while part of the mesh is cut off with its old record. That record must not
+// bring the node back after the partition, and no node may suspect it while it drains.
 func TestLeftNodeStaysGone(t *testing.T) {
 	w := newConvergedMesh(20, func(c *Config) { c.TombstoneRetention = 5 * time.Minute })
 	v := w.nodes[3]
@@ -294,7 +286,7 @@
 		return true
 	})
 	if !ok {
-		t.Fatal("the word did not get out")
+		t.Fatal("the leaving state did not spread")
 	}
 	t.Logf("known after %v", took)
 	w.run(5 * time.Second)
@@ -308,14 +300,13 @@
 	}
 }
 
-// A data centre is cut off, and the others pass the word of it round among
-// themselves. If each hop made it a little younger, it would never grow old
-// and nobody would notice the cut.
+// Guards against ages that get lower with each hop: the last message from a partitioned data
+// centre, relayed among the others, would never age and the partition would not be detected.
 func TestEncodedAgesAreNeverTooLow(t *testing.T) {
 	for _, age := range []time.Duration{0, 40 * time.Millisecond, 99 * time.Millisecond, time.Second, time.Hour} {
 		decoded := parseDigest(appendDigest(nil, centreDigest{age: age}))[0].age
 		if decoded <= age+300*time.Millisecond {
-			t.Errorf("%v is told as %v", age, decoded)
+			t.Errorf("%v is encoded as %v", age, decoded)
 		}
 	}
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -97,8 +97,8 @@
 
 // expediteExchange brings the next exchange with c forward after a burst of starts at home.
 func (s *State) expediteExchange(c *centre) {
-	soon := s.now.Add(burstExchangeWindow)
-	if s.home.startsSeen-c.startsReported >= startBurst && c.nextExchange.After(soon) {
+	latest := s.now.Add(burstExchangeWindow)
+	if s.home.startsSeen-c.startsReported >= startBurst && c.nextExchange.After(latest) {
 		c.nextExchange = s.now.Add(s.jitter(burstExchangeWindow))
 	}
 }
@@ -211,16 +211,16 @@
 		list = append(list, e)
 	}
 	slices.SortFunc(list, func(a, b *entry) int { return cmp.Compare(b.changeNumber, a.changeNumber) })
-	room := maxPushBytes
+	budget := maxPushBytes
 	for _, e := range list {
-		if room <= 0 {
+		if budget <= 0 {
 			break
 		}
 		delete(s.urgent, e)
 		if !e.dead {
 			p := encodeRecord(&e.rec)
 			out = append(out, p)
-			room -= proto.Size(p)
+			budget -= proto.Size(p)
 		}
 	}
 	return out
--- a/internal/membership/handle.go
+++ b/internal/membership/handle.go
@@ -13,8 +13,8 @@
 
 func (s *State) withinBounds(m *peerpb.Membership) bool {
 	n := max(len(m.GetRecords()), len(m.GetClaims()), len(m.GetStamps()), len(m.GetWant()), len(m.GetBuckets()))
-	small := max(len(m.GetHeld()), len(m.GetReferrals())) <= maxDigestCentres
-	return n <= maxItems && small && s.cfg.Limits.shortEnough(m.GetFrom(), m.GetTarget())
+	fewSmallItems := max(len(m.GetHeld()), len(m.GetReferrals())) <= maxDigestCentres
+	return n <= maxItems && fewSmallItems && s.cfg.Limits.shortEnough(m.GetFrom(), m.GetTarget())
 }
 
 // HandleRequest answers a request of another node.
@@ -126,17 +126,17 @@
 // mergeMessage merges what any kind of message may carry.
 func (s *State) mergeMessage(m *peerpb.Membership) {
 	source := keyOf(m.GetFrom())
-	var news []*entry
+	var updated []*entry
 	for _, p := range m.GetRecords() {
 		if s.accept(p, source) {
-			news = append(news, s.entries[p.GetId()])
+			updated = append(updated, s.entries[p.GetId()])
 		}
 	}
 	switch {
 	case m.GetKind() == peerpb.Kind_KIND_PUSH:
 		s.queuePushes(m.GetRecords())
-	case m.GetKind() == peerpb.Kind_KIND_BRIDGE && len(news) >= startBurst:
-		for _, e := range news {
+	case m.GetKind() == peerpb.Kind_KIND_BRIDGE && len(updated) >= startBurst:
+		for _, e := range updated {
 			s.urgent[e] = struct{}{}
 		}
 	}
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -8,9 +8,9 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// What an operator would see: a node is restarted while the platform is empty, and
-// serves by version 0 although its peers hold version 8. One of its seeds was down,
-// and it happened to ask that one each time, until it took itself to be the first.
+// Guards against a node that is restarted while the platform is empty and serves version 0
+// although its peers hold version 8: it drew the one seed that was down each time, until it
+// counted as the first node.
 func TestEverySeedIsTriedBeforeBootstrap(t *testing.T) {
 	seeds := []string{"10.0.0.7:7000", "10.0.0.8:7000"}
 	cfg := DefaultConfig(VM{ID: "vm-0", DataCentre: "dc-0", ControlAddr: "10.0.0.1:7000"})
@@ -28,16 +28,15 @@
 		}
 		for _, seed := range seeds {
 			if asked[seed] == 0 {
-				t.Errorf("draw %d: %s was not asked: %v", draw, seed, asked)
+				t.Errorf("draw %d: %s was not tried: %v", draw, seed, asked)
 			}
 		}
 	}
 }
 
-// A rolling restart stops a node while the platform is down. It starts again at
-// its address with nobody to ask: no seeds, and no rows of contacts. It knew no
-// endpoint and refused every call until the platform was back. Those that
-// remember its address have to find it.
+// Guards against a node that restarts while the platform is down, without seeds or contact rows,
+// and then knows no endpoint and refuses every call. Nodes that remember its address must
+// contact it.
 func TestRestartedNodeIsRediscovered(t *testing.T) {
 	for _, how := range []string{"leaves", "crashes"} {
 		alone := false
@@ -58,19 +57,18 @@
 		alone = true
 		w.start(v)
 		if took, ok := w.runUntil(10*time.Second, w.converged); !ok {
-			t.Errorf("a node that %s is not found within %v: %s", how, took, w.divergence())
+			t.Errorf("a node that %s is not rediscovered within %v: %s", how, took, w.divergence())
 		}
 	}
 }
 
-// A data centre's worth of nodes lose power and come back within 300 ms. Each was let
-// in with a full state that had been packed up to a second before, when hardly anybody
-// was back, and knew the others a second later: meanwhile the work that it took was
-// lost, since it knew no endpoint of the services that the work called.
+// Guards against slow convergence after a data centre's nodes restart within 300 ms: each joined
+// with a full state packed up to a second earlier, knew no endpoint for another second, and
+// calls were lost meanwhile.
 func TestMassRestartConvergesQuickly(t *testing.T) {
 	var sum time.Duration
-	const herds = 10
-	for n := range herds {
+	const runs = 10
+	for n := range runs {
 		w := newMesh(10+n, 3, func(c *Config) { *c = FastConvergence(*c) })
 		w.run(20 * time.Second)
 		for _, v := range w.nodes {
@@ -87,9 +85,9 @@
 		}
 		sum += took
 	}
-	mean := sum / herds
-	t.Logf("after %v in the mean", mean)
+	mean := sum / runs
+	t.Logf("converged after %v in the mean", mean)
 	if mean > 1500*time.Millisecond {
-		t.Errorf("the herd knew itself after %v in the mean", mean)
+		t.Errorf("converged after %v in the mean", mean)
 	}
 }
--- a/internal/membership/measure_faults_test.go
+++ b/internal/membership/measure_faults_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestMeasureFaults prints how faults are found and got over, for the sizes in
-// MARLPASS_MEASURE. It judges nothing.
+// TestMeasureFaults prints how faults are detected and recovered from, for the sizes in
+// MARLPASS_MEASURE. It checks nothing.
 func TestMeasureFaults(t *testing.T) {
 	sizes := os.Getenv("MARLPASS_MEASURE")
 	if sizes == "" {
@@ -39,9 +39,9 @@
 	}
 	first := w.timeToReach(2/float64(n), suspects)
 	all := w.timeToReach(1, suspects)
-	heldDead := w.timeToReach(1, func(v *vm) bool { return v == gone || v.View(w.now).Records[gone.info.ID] == nil })
+	declaredDead := w.timeToReach(1, func(v *vm) bool { return v == gone || v.View(w.now).Records[gone.info.ID] == nil })
 	fmt.Printf("n=%d one node dies: first suspicion after %v, all suspect after %v, all hold it dead after %v\n",
-		n, first, first+all, first+all+heldDead)
+		n, first, first+all, first+all+declaredDead)
 }
 
 // measureRelays compares false suspicions with and without indirect probes.
@@ -104,8 +104,7 @@
 	return sum
 }
 
-// measurePush compares what one change of a backend server costs when it waits
-// for the next messages and when it is pushed.
+// measurePush compares the cost of one change of a backend server with and without pushes.
 func measurePush(n int) {
 	for _, push := range []bool{false, true} {
 		w := newConvergedMesh(n, func(c *Config) { c.PushAllChanges = push })
--- a/internal/membership/measure_test.go
+++ b/internal/membership/measure_test.go
@@ -11,13 +11,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bytes of HTTP and TLS around a request and an answer on a kept connection.
+// Bytes of HTTP and TLS per request and answer on a persistent connection.
 const (
 	requestOverhead = 300
 	answerOverhead  = 200
 )
 
-// traffic sums what one node sent and received, overhead included.
+// traffic sums what one node sent and received, including overhead.
 func traffic(v *vm) (messages, bytes uint64) {
 	for _, t := range v.stats.Traffic {
 		messages += t.Sent + t.Received
@@ -26,7 +26,7 @@
 	return messages, bytes
 }
 
-// newConvergedMesh makes a mesh that has settled: every node starts with a full state.
+// newConvergedMesh creates a mesh in which every node starts with a full state.
 func newConvergedMesh(n int, configure func(*Config)) *mesh {
 	w := newMesh(n, 5, configure)
 	for _, v := range w.nodes {
@@ -47,18 +47,18 @@
 	return w
 }
 
-// measurements is what one size of the mesh costs.
+// measurements holds the costs for one size of the mesh.
 type measurements struct {
 	n                          int
-	idleMean, idleMax          float64 // bytes a second a node, in and out
-	requests                   float64 // messages a second a node
-	peers                      float64 // distinct peers a node exchanged with
+	idleMean, idleMax          float64 // bytes per second and node, both directions
+	requests                   float64 // messages per second and node
+	peers                      float64 // distinct peers per node
 	baseHeartbeat, baseFull    float64
-	maxAge                     time.Duration // since the last word of a data centre, at worst
-	change, urgent, applied    time.Duration // to reach all
-	urgent99                   time.Duration // to reach 99%
-	appliedBytes               float64       // a node, for one version
-	suspicions, falses, deaths uint64        // under 5% loss in lossMinutes
+	maxAge                     time.Duration // since the last news of a data centre
+	change, urgent, applied    time.Duration // time to reach all nodes
+	urgent99                   time.Duration // time to reach 99%
+	appliedBytes               float64       // per node, for one version
+	suspicions, falses, deaths uint64        // in lossMinutes with 5% loss
 }
 
 const lossMinutes = 10
@@ -80,7 +80,8 @@
 	return mean, worst, messages
 }
 
-// timeToReach runs until the share of nodes for which f holds is reached.
+// timeToReach runs until f holds for the given share of the nodes and returns the time that
+// took, or -1.
 func (w *mesh) timeToReach(share float64, f func(v *vm) bool) time.Duration {
 	took, ok := w.runUntil(3*time.Minute, func() bool {
 		n := 0
@@ -148,7 +149,8 @@
 	return m
 }
 
-// maxCentreAge is the longest time since any node last had word of a data centre.
+// maxCentreAge returns the longest time since any node last received news of another data
+// centre.
 func (w *mesh) maxCentreAge() (age time.Duration) {
 	for _, v := range w.nodes {
 		for _, c := range v.centres {
@@ -186,9 +188,9 @@
 	return raised, falses, deaths
 }
 
-// baselines computes, from the same encoded records, what a node would send
-// and receive in a second if each node told every other its record once in a
-// probe period, and if each sent its full state to one peer a period.
+// baselines computes, from the same encoded records, what a node would send and receive per
+// second if each node sent every other one its record once per probe period, and if each sent
+// its full state to one peer per period.
 func baselines(w *mesh) (heartbeat, full float64) {
 	v := w.nodes[0]
 	record := float64(proto.Size(encodeRecord(&v.self)))
@@ -200,8 +202,8 @@
 	return heartbeat, full
 }
 
-// TestMeasure prints what the protocol costs, for the sizes in
-// MARLPASS_MEASURE, separated by commas. It judges nothing.
+// TestMeasure prints the costs of the protocol, for the sizes in MARLPASS_MEASURE, separated by
+// commas. It checks nothing.
 func TestMeasure(t *testing.T) {
 	sizes := os.Getenv("MARLPASS_MEASURE")
 	if sizes == "" {
@@ -215,7 +217,7 @@
 		m := measure(n)
 		fmt.Printf("n=%d peers=%.1f idle_B/s mean=%.0f max=%.0f messages/s=%.2f | heartbeat_B/s=%.0f (%.1fx) full_B/s=%.0f (%.1fx)\n",
 			n, m.peers, m.idleMean, m.idleMax, m.requests, m.baseHeartbeat, m.baseHeartbeat/m.idleMean, m.baseFull, m.baseFull/m.idleMean)
-		fmt.Printf("n=%d lazy=%v urgent99=%v urgent=%v applied=%v applied_B=%.0f | 5%% loss, %d min: suspicions=%d false=%d deaths=%d oldest word=%v\n",
+		fmt.Printf("n=%d lazy=%v urgent99=%v urgent=%v applied=%v applied_B=%.0f | 5%% loss, %d min: suspicions=%d false=%d deaths=%d oldest centre=%v\n",
 			n, m.change, m.urgent99, m.urgent, m.applied, m.appliedBytes, lossMinutes, m.suspicions, m.falses, m.deaths, m.maxAge)
 	}
 }
--- a/internal/membership/mesh_test.go
+++ b/internal/membership/mesh_test.go
@@ -14,8 +14,8 @@
 	"github.com/marlpass/marlpass/internal/testseed"
 )
 
-// TestMain fixes the seed of the properties, so that they give the same verdict
-// in every run, and their number, unless a flag gives another.
+// TestMain fixes the seed and the number of the property checks, so that every run gives the
+// same result, unless a flag overrides them.
 func TestMain(m *testing.M) { testseed.Main(m, nil) }
 
 var (
@@ -23,9 +23,8 @@
 	epoch   = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// mesh joins several States by a network of its own in virtual time. It can
-// lose, delay, double and reorder messages, part nodes, pause and restart
-// them.
+// mesh connects several States by a simulated network in virtual time. It can lose, delay,
+// duplicate and reorder messages, partition nodes, and pause and restart them.
 type mesh struct {
 	now    time.Time
 	rnd    *rand.Rand
@@ -39,11 +38,11 @@
 	configure         func(*Config)
 
 	messages  uint64
-	bytes     uint64 // of messages, both ways, without overhead
+	bytes     uint64 // of messages in both directions, without overhead
 	delivered func(to *vm, m *peerpb.Membership)
 }
 
-// vm is one node of the mesh; restarts give it a new state.
+// vm is one node of the mesh. A restart gives it a new state.
 type vm struct {
 	*State
 	info       VM
@@ -53,8 +52,8 @@
 	generation int
 }
 
-// newMesh makes n nodes, spread over the data centres in turn. Two thirds of
-// the data centres are in one region.
+// newMesh creates n nodes, assigned to the data centres in turn. Two thirds of the data centres
+// are in one region.
 func newMesh(n, centres int, configure func(*Config)) *mesh {
 	w := &mesh{
 		now:       epoch,
@@ -85,7 +84,7 @@
 	return v
 }
 
-// start gives a node empty memory.
+// start starts a node with an empty state.
 func (w *mesh) start(v *vm) {
 	cfg := DefaultConfig(v.info)
 	for _, o := range w.nodes {
@@ -125,7 +124,7 @@
 	return time.Millisecond + time.Duration(w.rnd.Int64N(int64(w.delayMax)))
 }
 
-// run lets virtual time go on.
+// run advances the virtual time by d.
 func (w *mesh) run(d time.Duration) {
 	end := w.now.Add(d)
 	for at, do, ok := w.events.Next(end); ok; at, do, ok = w.events.Next(end) {
@@ -135,8 +134,8 @@
 	w.now = end
 }
 
-// runUntil runs until the condition holds and returns how long it took; it
-// gives up after limit.
+// runUntil runs until the condition holds, and at most for limit. It returns the time that this
+// took.
 func (w *mesh) runUntil(limit time.Duration, done func() bool) (time.Duration, bool) {
 	begin := w.now
 	for w.now.Sub(begin) < limit {
@@ -158,7 +157,7 @@
 	return b == nil || !b.up || b.paused || (w.partitioned != nil && w.partitioned(a, b)) || w.rnd.Float64() < w.loss
 }
 
-// deliver carries a request, perhaps twice, and its answer back.
+// deliver carries a request, perhaps twice, and its answer.
 func (w *mesh) deliver(from *vm, s OutgoingRequest) {
 	life := from.generation
 	w.count(s.Msg)
@@ -208,8 +207,8 @@
 	w.bytes += uint64(proto.Size(m))
 }
 
-// converged tells whether every running node sees exactly the running nodes, all
-// alive, in their own latest records.
+// converged reports whether every running node sees exactly the running nodes, all alive, by
+// their latest records.
 func (w *mesh) converged() bool { return w.divergence() == "" }
 
 func (w *mesh) divergence() string {
--- a/internal/membership/propagation_test.go
+++ b/internal/membership/propagation_test.go
@@ -7,10 +7,9 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// What an operator would see: minutes after a whole mesh was started, each node
-// still spends four times the control bytes that it should. All records are
-// new to all nodes at once, and each node goes on telling every one of them to
-// peers that have long had it.
+// Guards against a mesh that uses four times its normal control bytes for minutes after a full
+// start: all records are new to all nodes, and each node keeps sending them to peers that
+// already hold them.
 func TestConvergedPeersSendNoRecords(t *testing.T) {
 	w := newMesh(120, 3, nil)
 	w.mustConverge(t, time.Minute)
@@ -19,28 +18,26 @@
 	w.delivered = func(_ *vm, m *peerpb.Membership) { sent += len(m.GetRecords()) }
 	w.run(10 * time.Second)
 	if sent > 0 {
-		t.Errorf("%d records told to peers that hold them", sent)
+		t.Errorf("%d records sent to peers that hold them", sent)
 	}
 }
 
-// What an operator would see: a data centre's nodes come back at once, and for
-// half a minute the other region calls them where they no longer are. The
-// records cross by two bridges, ten with each of their slow exchanges. And a
-// returned node that another one of the herd let in lacks whole data centres,
-// which it makes good one at a time.
+// Guards against stale addresses in the other region for half a minute after many nodes of a
+// data centre restart. Records crossed between two bridges at ten per slow exchange, and a node
+// that joined through another restarted one synced its missing data centres one at a time.
 func TestMassRestartReachesOtherRegions(t *testing.T) {
 	w := newMesh(120, 4, nil)
 	w.mustConverge(t, time.Minute)
 	w.run(time.Minute)
-	var herd []*vm
+	var restarted []*vm
 	for _, v := range w.nodes {
-		if v.info.DataCentre == "dc-0" && len(herd) < 22 {
-			herd = append(herd, v)
+		if v.info.DataCentre == "dc-0" && len(restarted) < 22 {
+			restarted = append(restarted, v)
 			w.stop(v)
 		}
 	}
 	w.run(3 * time.Second)
-	for _, v := range herd {
+	for _, v := range restarted {
 		w.start(v)
 	}
 	// Exchanges with the other region are up to 15 s apart.
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -33,11 +33,11 @@
 	for other, e := range v.entries {
 		st := e.rec.stamp()
 		if before := o.seen[id][other]; before.newer(st) {
-			o.violation = fmt.Sprintf("%s went back on %s from %v to %v", id, other, before, st)
+			o.violation = fmt.Sprintf("%s went back for %s from %v to %v", id, other, before, st)
 		}
 		o.seen[id][other] = st
-		// A restarted owner may still be below its former record, but never
-		// below one of its own incarnation.
+		// A restarted owner may still have a lower stamp than its former
+		// record, but never than one of its own incarnation.
 		owner := o.w.byAddr[e.rec.VM.ControlAddr]
 		own := st.incarnation == owner.self.VM.Incarnation || owner.generation == 1
 		if own && st.newer(owner.self.stamp()) {
@@ -50,22 +50,22 @@
 func (o *invariantChecker) checkBounds(v *vm) {
 	l := v.cfg.Limits
 	if len(v.entries) > l.Records || len(v.relaying) > l.Relays || len(v.contacts) > l.Contacts || len(v.pending) > 256 {
-		o.violation = fmt.Sprintf("%s over a bound: %d entries, %d relays, %d contacts, %d pending",
+		o.violation = fmt.Sprintf("%s exceeds a bound: %d entries, %d relays, %d contacts, %d pending",
 			v.info.ID, len(v.entries), len(v.relaying), len(v.contacts), len(v.pending))
 	}
 }
 
-// injectFault does one thing that goes wrong, or an ordinary change.
+// injectFault injects one fault or makes an ordinary change.
 func injectFault(t *rapid.T, w *mesh) {
 	v := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")]
-	switch rapid.SampledFrom([]string{"pause", "restart", "part", "change", "apply", "stop"}).Draw(t, "fault") {
+	switch rapid.SampledFrom([]string{"pause", "restart", "partition", "change", "apply", "stop"}).Draw(t, "fault") {
 	case "pause":
 		v.paused = true
 		d := time.Duration(rapid.IntRange(1, 60).Draw(t, "seconds")) * time.Second
 		w.after(d, func() { v.paused = false })
 	case "restart":
 		w.start(v)
-	case "part":
+	case "partition":
 		dc := v.info.DataCentre
 		w.partitioned = func(a, b *vm) bool { return (a.info.DataCentre == dc) != (b.info.DataCentre == dc) }
 	case "change":
@@ -82,9 +82,9 @@
 	}
 }
 
-// Whatever the network and the processes do: no node goes back to an older
-// record, nobody but the owner raises a sequence, memory stays bounded; and
-// once faults stop, every node sees every running node alive.
+// Under any faults of the network and the processes: no node returns to an older record, only
+// the owner increases its sequence, and memory stays bounded. Once faults stop, every node sees
+// every running node alive.
 func TestPropertyAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newMesh(rapid.IntRange(2, 9).Draw(t, "nodes"), 2, nil)
@@ -105,7 +105,7 @@
 			}
 		}
 		if _, ok := w.runUntil(3*time.Minute, w.converged); !ok {
-			t.Fatalf("not settled: %s", w.divergence())
+			t.Fatalf("not converged: %s", w.divergence())
 		}
 		if o.violation != "" {
 			t.Fatal(o.violation)
--- a/internal/membership/publish_test.go
+++ b/internal/membership/publish_test.go
@@ -2,10 +2,9 @@
 
 import "testing"
 
-// What operators would see: "two histories of the configuration" after the first
-// change. That a node holds a newer version rides on messages as one bit, and
-// its record, with the hash of an older version, is not sent again. The view
-// gave out the new number with the old hash.
+// Guards against a false report of two configuration histories: a newer version is gossiped as
+// one bit without its record, and the view combined the new version with the hash of the old
+// one.
 func TestHashBelongsToTheVersion(t *testing.T) {
 	s := &State{}
 	e := &entry{
@@ -13,10 +12,10 @@
 		centre: &centre{name: "dc"},
 	}
 	if r := s.observed(e); r.AppliedVersion != 1 || r.AppliedHash != [8]byte{1} {
-		t.Errorf("as its record says: %d %x", r.AppliedVersion, r.AppliedHash)
+		t.Errorf("want the values of the record: %d %x", r.AppliedVersion, r.AppliedHash)
 	}
 	e.heldVersion, e.published = 2, nil
 	if r := s.observed(e); r.AppliedVersion != 2 || r.AppliedHash != [8]byte{} {
-		t.Errorf("seen with version 2: %d with the hash %x", r.AppliedVersion, r.AppliedHash)
+		t.Errorf("want version 2 without a hash: %d %x", r.AppliedVersion, r.AppliedHash)
 	}
 }
--- a/internal/membership/push_test.go
+++ b/internal/membership/push_test.go
@@ -8,7 +8,7 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// countPushes counts the urgent messages that each node gets.
+// countPushes counts the push messages that each node receives from now on.
 func (w *mesh) countPushes() map[*vm]int {
 	counts := make(map[*vm]int)
 	w.delivered = func(to *vm, m *peerpb.Membership) {
@@ -19,8 +19,9 @@
 	return counts
 }
 
-// Guards the pattern of a large data centre in which backend servers leave all the time: what its
-// bridges are told must not grow with it, and other data centres must hear of each within two seconds.
+// Guards against pushes to bridges that grow with the size of a data centre in which backend
+// servers leave all the time. Other data centres must still receive each change within two
+// seconds.
 func TestPushesToBridgesAreBounded(t *testing.T) {
 	const changes = 12
 	busiest := func(n int) (most int) {
@@ -46,7 +47,7 @@
 			for _, o := range w.nodes {
 				r := o.View(w.now).Records[v.info.ID]
 				if r == nil || !slices.ContainsFunc(r.Backends, func(b Backend) bool { return b.State == BackendDraining }) {
-					t.Errorf("%d nodes: %s does not know after 2 s that the backend server of %s drains", n, o.info.ID, v.info.ID)
+					t.Errorf("%d nodes: after 2 s, %s has no draining backend server of %s", n, o.info.ID, v.info.ID)
 				}
 			}
 		}
@@ -56,8 +57,8 @@
 		return most
 	}
 	few, many := busiest(40), busiest(160)
-	t.Logf("urgent messages at the busiest node for %d changes: %d of 40 nodes, %d of 160", 2*changes, few, many)
+	t.Logf("push messages at the busiest node for %d changes: %d of 40 nodes, %d of 160", 2*changes, few, many)
 	if many > few*3/2 {
-		t.Errorf("the busiest node gets %d urgent messages among 160 nodes, %d among 40", many, few)
+		t.Errorf("the busiest node receives %d push messages with 160 nodes, %d with 40", many, few)
 	}
 }
--- a/internal/membership/runner_test.go
+++ b/internal/membership/runner_test.go
@@ -14,7 +14,7 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// memoryNetwork is a transport between Runners of one process.
+// memoryNetwork is an in-process transport between Runners and a contact store.
 type memoryNetwork struct {
 	mu    sync.Mutex
 	peers map[string]*Runner
@@ -58,10 +58,9 @@
 	return nil
 }
 
-// The clock of one bridge is an hour fast, and four VMs that are gone wrote rows
-// when theirs were a day fast. The bridge takes the rows of its neighbours, who
-// are well, for old and removes them; the other four look fresh for a day, so
-// nobody writes a row. A herd that starts finds only addresses that are gone.
+// Guards against wrong clocks that leave only rows of dead nodes: one bridge's clock is an hour
+// fast, so the rows of live bridges look outdated to it, and four dead VMs wrote rows a day
+// ahead, which look fresh and keep others from writing theirs.
 func TestContactsSurviveWrongClocks(t *testing.T) {
 	net := &memoryNetwork{peers: map[string]*Runner{}, rows: map[string]ContactRow{}}
 	self := VM{ID: "vm-0", DataCentre: "dc-0", ControlAddr: "10.0.0.1:7000"}
@@ -71,29 +70,29 @@
 		net.rows[id] = ContactRow{Contact: Contact{ID: id, DataCentre: "dc-0", ControlAddr: id + ":7000"}, At: at}
 	}
 	now := time.Now()
-	put("vm-1", now.Add(-time.Hour)) // a bridge, and alive
-	put("vm-2", now.Add(-time.Hour)) // gone
+	put("vm-1", now.Add(-time.Hour)) // a live bridge
+	put("vm-2", now.Add(-time.Hour)) // dead
 	for i := range 4 {
 		put(fmt.Sprintf("vm-fast-%d", i), now.Add(24*time.Hour))
 	}
 	if r.readContacts(t.Context(), true) {
-		t.Error("rows from the future count as fresh")
+		t.Error("rows dated in the future count as fresh")
 	}
 	if _, there := net.rows["vm-1"]; !there || len(net.rows) != 1 {
-		t.Errorf("left %v", net.rows)
+		t.Errorf("remaining rows: %v", net.rows)
 	}
 }
 
-// Nodes with nothing but the platform's contacts find one another, keep few
-// rows there, tell of a draining backend server within two seconds, declare dead one that
-// stops, and end without goroutines left.
+// Nodes that only have the platform's contacts find one another, write few rows, distribute a
+// draining backend server within two seconds, declare a stopped node dead, and end without
+// leaking goroutines.
 func TestRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 12
 		net := &memoryNetwork{peers: map[string]*Runner{}, rows: map[string]ContactRow{}}
 		net.rows["vm-old"] = ContactRow{Contact: Contact{ID: "vm-old", DataCentre: "dc-0", ControlAddr: "gone:1"}, At: time.Now().Add(-time.Hour)}
 		ctx, cancel := context.WithCancel(t.Context())
-		var running sync.WaitGroup
+		var runners sync.WaitGroup
 		var views [n]CurrentView
 		var stops [n]context.CancelFunc
 		for i := range n {
@@ -104,7 +103,7 @@
 			net.mu.Unlock()
 			nodeCtx, stop := context.WithCancel(ctx)
 			stops[i] = stop
-			running.Go(func() { _ = r.Run(nodeCtx) })
+			runners.Go(func() { _ = r.Run(nodeCtx) })
 			_ = r.SetBackends([]Backend{{Service: "s", Instance: "i", State: BackendReady}})
 			time.Sleep(300 * time.Millisecond)
 		}
@@ -143,6 +142,6 @@
 		}
 		net.mu.Unlock()
 		cancel()
-		running.Wait()
+		runners.Wait()
 	})
 }
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -158,9 +158,9 @@
 }
 
 func (s *State) tickOwn() {
-	keep := slices.DeleteFunc(slices.Clone(s.self.Notices), func(n Notice) bool { return n.Expires <= s.now.UnixMilli() })
-	if len(keep) != len(s.self.Notices) {
-		s.self.Notices = keep
+	unexpired := slices.DeleteFunc(slices.Clone(s.self.Notices), func(n Notice) bool { return n.Expires <= s.now.UnixMilli() })
+	if len(unexpired) != len(s.self.Notices) {
+		s.self.Notices = unexpired
 		s.own.changePending = true
 	}
 	// Peers drop a leaving record after LeavingRetention, so it is republished in time.
