--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -20,7 +20,7 @@
 	DeathSampleSize  int           // random nodes probed before a death is declared
 	DeathSampleEvery time.Duration // between two samples, if the first one shows no healthy majority
 
-	Bridges                int           // nodes per data centre that exchange gossip with other data centres
+	Bridges                int           // nodes per data centre that gossip with other data centres
 	BridgeEvery            time.Duration // between exchanges with a data centre of the same region
 	CrossRegionBridgeEvery time.Duration // the same for another region
 
