--- a/internal/announce/server.go
+++ b/internal/announce/server.go
@@ -13,11 +13,10 @@
 	"github.com/marlpass/marlpass/internal/problem"
 )
 
-// MaxBodyBytes is the size in bytes of the largest body that the API reads.
+// MaxBodyBytes is the maximum size of a request body.
 const MaxBodyBytes = 4 << 10
 
-// sweepsPerTTL is how often Run looks for leases that have run out within one
-// TTL.
+// sweepsPerTTL is how often per TTL Run checks for expired leases.
 const sweepsPerTTL = 8
 
 // Server serves the announce API over a Registry.
@@ -27,25 +26,25 @@
 	onChange func([]Change)
 }
 
-// NewServer returns a server over r. It calls onChange, from the goroutine that
-// made the change and with no lock held, after every change that the mesh has
-// to hear of. Two calls may cross, so onChange takes the state from
-// Registry.Load, which holds the change by then, and not from its argument.
+// NewServer returns a server over r. It calls onChange after every change that has to be
+// published to the mesh, from the goroutine that made the change and with no lock held. Calls
+// may arrive out of order, so onChange must take the state from Registry.Load, which already
+// includes the change, and not from its argument.
 func NewServer(r *Registry, now func() time.Time, onChange func([]Change)) *Server {
 	return &Server{registry: r, now: now, onChange: onChange}
 }
 
-// Handler returns the HTTP side of the API.
+// Handler returns the HTTP handler of the API.
 func (s *Server) Handler() (http.Handler, error) {
 	h, err := announceapi.NewServer(handler{s}, announceapi.WithPathPrefix("/v1"),
-		announceapi.WithErrorHandler(s.undecoded))
+		announceapi.WithErrorHandler(s.handleDecodeError))
 	if err != nil {
 		return nil, err
 	}
 	return http.MaxBytesHandler(h, MaxBodyBytes), nil
 }
 
-// Run expires silent backend servers until ctx is done.
+// Run removes expired backend servers until ctx is done.
 func (s *Server) Run(ctx context.Context) {
 	ticker := time.NewTicker(s.registry.Limits().TTL / sweepsPerTTL)
 	defer ticker.Stop()
@@ -54,20 +53,20 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.tell(s.registry.Expire(s.now()))
+			s.notify(s.registry.Expire(s.now()))
 		}
 	}
 }
 
-// tell passes on the changes that the mesh has to hear of.
-func (s *Server) tell(all []Change) {
+// notify reports the changes that have to be published to the mesh.
+func (s *Server) notify(all []Change) {
 	if visible := RecordChanges(all); len(visible) > 0 {
 		s.onChange(visible)
 	}
 }
 
-// Listen opens the API's listener. It refuses an address that is not on
-// loopback, since the API asks for no token.
+// Listen opens the listener of the API. It returns ErrNotLoopback for an address that is not on
+// loopback, since the API does not authenticate its clients.
 func Listen(address string) (net.Listener, error) {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil || !a.Addr().Unmap().IsLoopback() {
@@ -89,14 +88,14 @@
 		Service:  string(req.Service),
 		Address:  address,
 		Slots:    req.Slots,
-		State:    states[req.State],
+		State:    stateByName[req.State],
 		Version:  req.Version.Or(""),
 		Load:     req.Load.Or(0),
 	})
 	if err != nil {
 		return nil, err
 	}
-	h.s.tell(changes)
+	h.s.notify(changes)
 	limits := h.s.registry.Limits()
 	return &announceapi.Lease{
 		TTLMs:        limits.TTL.Milliseconds(),
@@ -112,7 +111,7 @@
 			return err
 		}
 	}
-	h.s.tell(h.s.registry.Withdraw(Withdrawal{Instance: string(p.Instance), Address: address}))
+	h.s.notify(h.s.registry.Withdraw(Withdrawal{Instance: string(p.Instance), Address: address}))
 	return nil
 }
 
@@ -140,14 +139,14 @@
 	return out, nil
 }
 
-var states = map[announceapi.State]membership.BackendState{
+var stateByName = map[announceapi.State]membership.BackendState{
 	announceapi.StateStarting: membership.BackendStarting,
 	announceapi.StateReady:    membership.BackendReady,
 	announceapi.StateDraining: membership.BackendDraining,
 }
 
 func stateName(s membership.BackendState) announceapi.State {
-	for name, state := range states {
+	for name, state := range stateByName {
 		if state == s {
 			return name
 		}
@@ -155,22 +154,22 @@
 	return announceapi.StateStarting
 }
 
-// NewError turns an error of this package into a problem document.
+// NewError converts an error of this package to a problem document.
 func (h handler) NewError(_ context.Context, err error) *announceapi.ProblemStatusCode {
 	var field *FieldError
 	switch {
 	case errors.As(err, &field):
-		return document(http.StatusUnprocessableEntity, field.Field, field.Reason)
+		return problemDocument(http.StatusUnprocessableEntity, field.Field, field.Reason)
 	case errors.Is(err, ErrTooMany):
-		return document(http.StatusTooManyRequests, "", "too many backend servers on this VM")
+		return problemDocument(http.StatusTooManyRequests, "", "too many backend servers on this VM")
 	}
 	if f, ok := problem.FromDecoder(err); ok {
-		return document(f.Status, f.Field, f.Detail)
+		return problemDocument(f.Status, f.Field, f.Detail)
 	}
-	return document(http.StatusInternalServerError, "", "internal error")
+	return problemDocument(http.StatusInternalServerError, "", "internal error")
 }
 
-func document(status int, field, detail string) *announceapi.ProblemStatusCode {
+func problemDocument(status int, field, detail string) *announceapi.ProblemStatusCode {
 	p := announceapi.Problem{Type: "about:blank", Title: http.StatusText(status), Status: status}
 	p.Detail.SetTo(detail)
 	if field != "" {
@@ -179,8 +178,8 @@
 	return &announceapi.ProblemStatusCode{StatusCode: status, Response: p}
 }
 
-// undecoded answers a request that never reached the handler.
-func (s *Server) undecoded(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
+// handleDecodeError answers a request that could not be decoded.
+func (s *Server) handleDecodeError(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 	p := handler{s}.NewError(ctx, err)
 	body, err := p.Response.MarshalJSON()
 	if err != nil {
--- a/internal/membership/bounds_test.go
+++ b/internal/membership/bounds_test.go
@@ -14,7 +14,7 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-func alone(configure func(*Config)) *State {
+func newTestState(configure func(*Config)) *State {
 	cfg := DefaultConfig(VM{ID: "vm-0", DataCentre: "dc-0", ControlAddr: "10.0.0.1:7000"})
 	if configure != nil {
 		configure(&cfg)
@@ -29,27 +29,27 @@
 func TestRefusedRecords(t *testing.T) {
 	long := strings.Repeat("x", 257)
 	tests := map[string]func(*peerpb.Record){
-		"no id":               func(r *peerpb.Record) { r.Id = "" },
-		"no data centre":      func(r *peerpb.Record) { r.DataCentre = "" },
-		"no incarnation":      func(r *peerpb.Record) { r.Incarnation = 0 },
-		"unknown state":       func(r *peerpb.Record) { r.State = 9 },
-		"says itself dead":    func(r *peerpb.Record) { r.State = uint32(VMDead) },
-		"long id":             func(r *peerpb.Record) { r.Id = long },
-		"long address":        func(r *peerpb.Record) { r.CallAddr = long },
-		"long reason":         func(r *peerpb.Record) { r.RefusedReason = long },
-		"long hash":           func(r *peerpb.Record) { r.AppliedHash = make([]byte, 9) },
-		"many backends":       func(r *peerpb.Record) { r.Backends = make([]*peerpb.Backend, 65) },
-		"many notices":        func(r *peerpb.Record) { r.Notices = make([]*peerpb.Notice, 33) },
-		"long service":        func(r *peerpb.Record) { r.Backends = []*peerpb.Backend{{Service: long, State: 1}} },
-		"backend of no state": func(r *peerpb.Record) { r.Backends = []*peerpb.Backend{{Service: "s"}} },
-		"too many slots":      func(r *peerpb.Record) { r.Backends = []*peerpb.Backend{{State: 1, Slots: maxSlots + 1}} },
-		"long notice":         func(r *peerpb.Record) { r.Notices = []*peerpb.Notice{{Detail: long}} },
+		"no id":                 func(r *peerpb.Record) { r.Id = "" },
+		"no data centre":        func(r *peerpb.Record) { r.DataCentre = "" },
+		"no incarnation":        func(r *peerpb.Record) { r.Incarnation = 0 },
+		"unknown state":         func(r *peerpb.Record) { r.State = 9 },
+		"declares itself dead":  func(r *peerpb.Record) { r.State = uint32(VMDead) },
+		"long id":               func(r *peerpb.Record) { r.Id = long },
+		"long address":          func(r *peerpb.Record) { r.CallAddr = long },
+		"long reason":           func(r *peerpb.Record) { r.RefusedReason = long },
+		"long hash":             func(r *peerpb.Record) { r.AppliedHash = make([]byte, 9) },
+		"many backends":         func(r *peerpb.Record) { r.Backends = make([]*peerpb.Backend, 65) },
+		"many notices":          func(r *peerpb.Record) { r.Notices = make([]*peerpb.Notice, 33) },
+		"long service":          func(r *peerpb.Record) { r.Backends = []*peerpb.Backend{{Service: long, State: 1}} },
+		"backend without state": func(r *peerpb.Record) { r.Backends = []*peerpb.Backend{{Service: "s"}} },
+		"too many slots":        func(r *peerpb.Record) { r.Backends = []*peerpb.Backend{{State: 1, Slots: maxSlots + 1}} },
+		"long notice":           func(r *peerpb.Record) { r.Notices = []*peerpb.Notice{{Detail: long}} },
 	}
-	for name, spoil := range tests {
+	for name, invalidate := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := alone(nil)
+			s := newTestState(nil)
 			bad := goodRecord()
-			spoil(bad)
+			invalidate(bad)
 			msg := &peerpb.Membership{Kind: peerpb.Kind_KIND_PUSH, From: "vm-2", Records: []*peerpb.Record{bad, goodRecord()}}
 			s.HandleRequest(epoch, "vm-2", msg)
 			if st := s.Stats(); st.Refused != 1 || st.Records != 2 {
@@ -60,7 +60,7 @@
 }
 
 func TestRecordsAreBounded(t *testing.T) {
-	s := alone(func(c *Config) { c.Limits.Records = 10 })
+	s := newTestState(func(c *Config) { c.Limits.Records = 10 })
 	for i := range 20 {
 		r := goodRecord()
 		r.Id = fmt.Sprintf("vm-%d", i+1)
@@ -71,21 +71,21 @@
 	}
 }
 
-// A peer sends a full state of a few bytes that unpacks to gigabytes. Taken
-// without a bound it would kill the joining node, and again at each restart.
+// Guards against a full state of a few bytes that decompresses to gigabytes and kills the
+// joining node, and again at each restart.
 func TestFullStateIsBounded(t *testing.T) {
-	s := alone(func(c *Config) { c.Limits.FullStateBytes = 1 << 20 })
+	s := newTestState(func(c *Config) { c.Limits.FullStateBytes = 1 << 20 })
 	bomb, err := compress(make([]byte, 8<<20))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.takeFull(bomb, 0) {
-		t.Error("taken")
+	if s.mergeFullState(bomb, 0) {
+		t.Error("accepted")
 	}
 }
 
 func TestOwnRecordIsBounded(t *testing.T) {
-	s := alone(nil)
+	s := newTestState(nil)
 	if err := s.SetBackends(epoch, make([]Backend, 65)); !errors.Is(err, ErrRecordTooLarge) {
 		t.Errorf("backends: %v", err)
 	}
@@ -94,25 +94,24 @@
 	}
 }
 
-// A message under another name than the one that its certificate gives must
-// change nothing.
+// A message whose sender differs from the name in its certificate must change nothing.
 func TestForeignSenderIsRefused(t *testing.T) {
-	s := alone(nil)
+	s := newTestState(nil)
 	s.HandleRequest(epoch, "vm-3", &peerpb.Membership{Kind: peerpb.Kind_KIND_PUSH, From: "vm-2", Records: []*peerpb.Record{goodRecord()}})
 	if st := s.Stats(); st.Refused != 1 || st.Records != 1 {
 		t.Errorf("refused %d, holds %d", st.Refused, st.Records)
 	}
 }
 
-// A claim with a sequence that this node never made can't make it raise its
-// record to any number that a peer likes.
+// Guards against a claim with a forged sequence that makes this node publish any sequence a peer
+// likes.
 func TestOnlyTheOwnerRaisesSequence(t *testing.T) {
-	s := alone(nil)
+	s := newTestState(nil)
 	before := s.self.stamp()
 	forged := &peerpb.Claim{Id: "vm-0", Incarnation: before.incarnation, Sequence: 1 << 60}
 	s.HandleRequest(epoch, "vm-2", &peerpb.Membership{Kind: peerpb.Kind_KIND_PUSH, From: "vm-2", Claims: []*peerpb.Claim{forged}})
 	if s.self.stamp() != before {
-		t.Errorf("raised to %v", s.self.stamp())
+		t.Errorf("published %v", s.self.stamp())
 	}
 	forged.Sequence = before.sequence
 	s.HandleRequest(epoch, "vm-2", &peerpb.Membership{Kind: peerpb.Kind_KIND_PUSH, From: "vm-2", Claims: []*peerpb.Claim{forged}})
@@ -122,7 +121,7 @@
 }
 
 func TestJoinsAreBounded(t *testing.T) {
-	s := alone(nil)
+	s := newTestState(nil)
 	served := 0
 	for i := range 100 {
 		id := fmt.Sprintf("vm-%d", i+1)
@@ -130,7 +129,7 @@
 		if len(ans.GetFull()) > 0 {
 			served++
 		} else if ans.GetRetryAfterMs() == 0 {
-			t.Fatal("refused without a time to come back")
+			t.Fatal("refused without a retry time")
 		}
 	}
 	if served != int(s.cfg.JoinBurst) {
@@ -138,23 +137,23 @@
 	}
 }
 
-// Messages are as large as the budget allows, whatever there is to tell.
+// Messages must use the budget and stay within it, however many records are queued.
 func TestMessagesKeepTheBudget(t *testing.T) {
-	w := warm(60, nil)
+	w := newConvergedMesh(60, nil)
 	for _, v := range w.nodes {
 		for _, e := range v.entries {
-			v.heat(e, 0)
+			v.queueRecord(e, 0)
 		}
 	}
 	v := w.nodes[0]
 	m := &peerpb.Membership{}
-	v.fill(m, w.nodes[5].info.ID, nil)
+	v.piggyback(m, w.nodes[5].info.ID, nil)
 	if n := proto.Size(m); n > v.cfg.MessageBytes+200 || n < v.cfg.MessageBytes/2 {
 		t.Errorf("%d bytes", n)
 	}
 }
 
-// FuzzHandle feeds a node any bytes that decode, as request and as answer.
+// FuzzHandle feeds a node arbitrary decodable messages, as requests and as answers.
 func FuzzHandle(f *testing.F) {
 	good, err := proto.Marshal(&peerpb.Membership{
 		Kind: peerpb.Kind_KIND_SYNC, From: "vm-1", Records: []*peerpb.Record{goodRecord()},
@@ -171,12 +170,12 @@
 		if proto.Unmarshal(raw, &m) != nil {
 			return
 		}
-		s := alone(func(c *Config) { c.Seeds = []string{"10.0.0.9:7000"} })
+		s := newTestState(func(c *Config) { c.Seeds = []string{"10.0.0.9:7000"} })
 		s.accept(goodRecord(), 0)
 		s.HandleRequest(epoch, m.GetFrom(), &m)
 		now := epoch
 		for range 100 {
-			now = now.Add(tickEvery)
+			now = now.Add(tickInterval)
 			for _, send := range s.Tick(now) {
 				s.HandleAnswer(now, send.ID, &m)
 			}
@@ -187,9 +186,9 @@
 	})
 }
 
-// full returns a state with n records of others.
-func full(n int) *State {
-	s := alone(nil)
+// newPopulatedState returns a state with n records of other nodes.
+func newPopulatedState(n int) *State {
+	s := newTestState(nil)
 	for i := range n {
 		r := goodRecord()
 		r.Id = fmt.Sprintf("vm-%d", i+1)
@@ -197,17 +196,17 @@
 		r.Backends = []*peerpb.Backend{{Service: fmt.Sprintf("service-%d", i%61), Instance: "i-1", Slots: 8, State: 2}}
 		s.accept(r, 0)
 	}
-	clear(s.hot)
-	s.becomeJoined()
-	s.Tick(epoch.Add(tickEvery))
-	s.View(epoch.Add(tickEvery))
+	clear(s.queued)
+	s.markJoined()
+	s.Tick(epoch.Add(tickInterval))
+	s.View(epoch.Add(tickInterval))
 	return s
 }
 
 func BenchmarkViewAfterOneChange(b *testing.B) {
 	for _, n := range []int{12, 108, 240, 300, 600, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := full(n)
+			s := newPopulatedState(n)
 			b.ReportAllocs()
 			for i := range b.N {
 				r := goodRecord()
@@ -219,7 +218,7 @@
 	}
 }
 
-// BenchmarkHeap reports the heap that one state with its view keeps.
+// BenchmarkHeap reports the heap used by one state with its view.
 func BenchmarkHeap(b *testing.B) {
 	for _, n := range []int{12, 108, 240, 300, 600, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -228,7 +227,7 @@
 				before := heapBytes()
 				var keep []*State
 				for range states {
-					keep = append(keep, full(n))
+					keep = append(keep, newPopulatedState(n))
 				}
 				b.ReportMetric(float64(heapBytes()-before)/states, "heap-B")
 				runtime.KeepAlive(keep)
@@ -245,8 +244,8 @@
 }
 
 func BenchmarkIdleTick(b *testing.B) {
-	s := full(1200)
-	now := epoch.Add(2 * tickEvery)
+	s := newPopulatedState(1200)
+	now := epoch.Add(2 * tickInterval)
 	s.nextProbe, s.nextCheck, s.nextSweep = now.Add(time.Hour), now.Add(time.Hour), now.Add(time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -255,7 +254,7 @@
 }
 
 func BenchmarkAnswerProbe(b *testing.B) {
-	s := full(1200)
+	s := newPopulatedState(1200)
 	s.SetConfigStatus(epoch, ConfigStatus{Version: 5})
 	m := &peerpb.Membership{Kind: peerpb.Kind_KIND_PROBE, From: "vm-5", Incarnation: 1, Sequence: 1, Digest: s.digest()}
 	b.ReportAllocs()
@@ -265,10 +264,10 @@
 }
 
 func BenchmarkFullState(b *testing.B) {
-	s := full(1200)
+	s := newPopulatedState(1200)
 	b.ReportAllocs()
 	for b.Loop() {
-		s.full = nil
+		s.cachedFull = nil
 		b.SetBytes(int64(len(s.fullState())))
 	}
 }
--- a/internal/membership/herd_test.go
+++ b/internal/membership/contacts_start_test.go
@@ -12,40 +12,38 @@
 	"github.com/rs/zerolog"
 )
 
-// slowTable is a table of contacts that takes its time, as the platform's store does, and
-// counts its calls.
+// slowTable is a contact store with the latency of the platform's store that counts its calls.
 type slowTable struct {
-	*memory
+	*memoryNetwork
 	lists, puts atomic.Int64
 }
 
 const (
-	listTakes = 4 * time.Millisecond
-	putTakes  = 6 * time.Millisecond
+	listLatency = 4 * time.Millisecond
+	putLatency  = 6 * time.Millisecond
 )
 
 func (s *slowTable) List(ctx context.Context) ([]ContactRow, error) {
 	s.lists.Add(1)
-	time.Sleep(listTakes)
-	return s.memory.List(ctx)
+	time.Sleep(listLatency)
+	return s.memoryNetwork.List(ctx)
 }
 
 func (s *slowTable) Put(ctx context.Context, c ContactRow) error {
 	s.puts.Add(1)
-	time.Sleep(putTakes)
-	return s.memory.Put(ctx, c)
+	time.Sleep(putLatency)
+	return s.memoryNetwork.Put(ctx, c)
 }
 
-// All VMs of a mesh start at one moment, with nothing but an empty table to find each other
-// by. Each looked at it at once, found nobody, wrote its own row and had to look again: three
-// calls to the platform a node, most of a day's calls where there are hundreds. Thirty nodes
-// a data centre must do with half of that, and know each other as soon.
-func TestHerdWritesFewContacts(t *testing.T) {
+// Guards against a mesh whose nodes all start at once with an empty contact table and each make
+// three calls to the platform: read, find no row, write a row, read again. Sixty nodes must need
+// half of that.
+func TestSimultaneousStartWritesFewContacts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 60
-		table := &slowTable{memory: &memory{peers: map[string]*Runner{}, rows: map[string]ContactRow{}}}
+		table := &slowTable{memoryNetwork: &memoryNetwork{peers: map[string]*Runner{}, rows: map[string]ContactRow{}}}
 		ctx, cancel := context.WithCancel(t.Context())
-		var running sync.WaitGroup
+		var runners sync.WaitGroup
 		var views [n]CurrentView
 		for i := range n {
 			vm := VM{ID: fmt.Sprintf("vm-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%2), ControlAddr: fmt.Sprintf("host-%d:7000", i)}
@@ -53,9 +51,9 @@
 			table.peers[vm.ControlAddr] = r
 		}
 		for _, r := range table.peers {
-			running.Go(func() { _ = r.Run(ctx) })
+			runners.Go(func() { _ = r.Run(ctx) })
 		}
-		time.Sleep(12 * time.Second) // two syncs, which find the last record that is lacking
+		time.Sleep(12 * time.Second) // two syncs, which fetch the last missing record
 		for i := range views {
 			if got := len(views[i].Load().Records); got != n {
 				t.Errorf("vm-%d sees %d nodes", i, got)
@@ -67,6 +65,6 @@
 			t.Errorf("%d nodes: %d lists, %d rows written", n, lists, puts)
 		}
 		cancel()
-		running.Wait()
+		runners.Wait()
 	})
 }
--- a/internal/membership/measure_test.go
+++ b/internal/membership/measure_test.go
@@ -11,13 +11,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bytes of HTTP and TLS around a request and an answer on a kept connection.
+// Bytes of HTTP and TLS per request and answer on a persistent connection.
 const (
 	requestOverhead = 300
 	answerOverhead  = 200
 )
 
-// traffic sums what one node sent and received, overhead included.
+// traffic sums what one node sent and received, including overhead.
 func traffic(v *vm) (messages, bytes uint64) {
 	for _, t := range v.stats.Traffic {
 		messages += t.Sent + t.Received
@@ -26,8 +26,8 @@
 	return messages, bytes
 }
 
-// warm makes a mesh that has settled: every node starts with a full state.
-func warm(n int, configure func(*Config)) *mesh {
+// newConvergedMesh creates a mesh in which every node starts with a full state.
+func newConvergedMesh(n int, configure func(*Config)) *mesh {
 	w := newMesh(n, 5, configure)
 	for _, v := range w.nodes {
 		_ = v.SetBackends(w.now, []Backend{{Service: fmt.Sprintf("service-%d", v.index%61), Instance: "i-1", Slots: 8, State: BackendReady, ReadySince: epoch.UnixMilli() + int64(v.index*7919)}})
@@ -37,33 +37,33 @@
 		for _, o := range w.nodes {
 			if v != o {
 				v.accept(encodeRecord(&o.self), 0)
-				v.entries[o.info.ID].held = 1000
+				v.entries[o.info.ID].heldVersion = 1000
 			}
 		}
-		clear(v.hot)
-		v.becomeJoined()
+		clear(v.queued)
+		v.markJoined()
 	}
 	w.run(time.Minute)
 	return w
 }
 
-// measures is what one size of the mesh costs.
-type measures struct {
+// measurements holds the costs for one size of the mesh.
+type measurements struct {
 	n                          int
-	idleMean, idleMax          float64 // bytes a second a node, in and out
-	requests                   float64 // messages a second a node
-	peers                      float64 // distinct peers a node exchanged with
+	idleMean, idleMax          float64 // bytes per second and node, both directions
+	requests                   float64 // messages per second and node
+	peers                      float64 // distinct peers per node
 	baseHeartbeat, baseFull    float64
-	age                        time.Duration // since the last word of a data centre, at worst
-	change, urgent, applied    time.Duration // to reach all
-	urgent99                   time.Duration // to reach 99%
-	appliedBytes               float64       // a node, for one version
-	suspicions, falses, deaths uint64        // under 5% loss in lossMinutes
+	maxAge                     time.Duration // since the last news of a data centre
+	change, urgent, applied    time.Duration // time to reach all nodes
+	urgent99                   time.Duration // time to reach 99%
+	appliedBytes               float64       // per node, for one version
+	suspicions, falses, deaths uint64        // in lossMinutes with 5% loss
 }
 
 const lossMinutes = 10
 
-func cost(w *mesh, d time.Duration) (mean, worst, messages float64) {
+func measureTraffic(w *mesh, d time.Duration) (mean, worst, messages float64) {
 	before := map[*vm][2]uint64{}
 	for _, v := range w.nodes {
 		m, b := traffic(v)
@@ -80,8 +80,9 @@
 	return mean, worst, messages
 }
 
-// reaches runs until the share of nodes for which f holds is reached.
-func (w *mesh) reaches(share float64, f func(v *vm) bool) time.Duration {
+// timeToReach runs until f holds for the given share of the nodes and returns the time that
+// took, or -1.
+func (w *mesh) timeToReach(share float64, f func(v *vm) bool) time.Duration {
 	took, ok := w.runUntil(3*time.Minute, func() bool {
 		n := 0
 		for _, v := range w.nodes {
@@ -97,9 +98,9 @@
 	return took
 }
 
-func measure(n int) measures {
-	m := measures{n: n}
-	w := warm(n, nil)
+func measure(n int) measurements {
+	m := measurements{n: n}
+	w := newConvergedMesh(n, nil)
 	peers := map[[2]string]struct{}{}
 	for _, v := range w.nodes {
 		for _, e := range v.peers() {
@@ -107,7 +108,7 @@
 		}
 	}
 	m.peers = float64(len(peers)) / float64(n)
-	m.idleMean, m.idleMax, m.requests = cost(w, 2*time.Minute)
+	m.idleMean, m.idleMax, m.requests = measureTraffic(w, 2*time.Minute)
 	m.baseHeartbeat, m.baseFull = baselines(w)
 
 	first := w.nodes[n/2]
@@ -118,21 +119,21 @@
 	backend := first.self.Backends[0]
 	backend.Slots++
 	_ = first.SetBackends(w.now, []Backend{backend})
-	m.change = w.reaches(1, has)
+	m.change = w.timeToReach(1, has)
 	w.run(time.Minute)
 	backend.State = BackendDraining
 	_ = first.SetBackends(w.now, []Backend{backend})
-	m.urgent99 = w.reaches(0.99, has)
-	m.urgent = m.urgent99 + w.reaches(1, has)
+	m.urgent99 = w.timeToReach(0.99, has)
+	m.urgent = m.urgent99 + w.timeToReach(1, has)
 	w.run(time.Minute)
 
-	idle, _, _ := cost(w, time.Minute)
+	idle, _, _ := measureTraffic(w, time.Minute)
 	for _, v := range w.nodes {
 		v.SetConfigStatus(w.now, ConfigStatus{Version: 1001})
 	}
 	begin := w.now
 	before := sumBytes(w)
-	m.applied = w.reaches(1, func(v *vm) bool { return v.allHold(1001) })
+	m.applied = w.timeToReach(1, func(v *vm) bool { return v.allHold(1001) })
 	w.run(2*time.Minute - w.now.Sub(begin))
 	m.appliedBytes = float64(sumBytes(w)-before)/float64(n) - idle*120
 
@@ -142,18 +143,19 @@
 	s1, f1, b1 := suspicions(w)
 	for range 60 {
 		w.run(time.Second)
-		m.age = max(m.age, w.oldest())
+		m.maxAge = max(m.maxAge, w.maxCentreAge())
 	}
 	m.suspicions, m.falses, m.deaths = s1-s0, f1-f0, b1-b0
 	return m
 }
 
-// oldest is the longest time since any node last had word of a data centre.
-func (w *mesh) oldest() (age time.Duration) {
+// maxCentreAge returns the longest time since any node last received news of another data
+// centre.
+func (w *mesh) maxCentreAge() (age time.Duration) {
 	for _, v := range w.nodes {
 		for _, c := range v.centres {
 			if c != v.home {
-				age = max(age, w.now.Sub(c.heard))
+				age = max(age, w.now.Sub(c.lastHeard))
 			}
 		}
 	}
@@ -162,7 +164,7 @@
 
 func (s *State) allHold(version uint64) bool {
 	for _, e := range s.entries {
-		if !e.dead && e.held < version {
+		if !e.dead && e.heldVersion < version {
 			return false
 		}
 	}
@@ -186,9 +188,9 @@
 	return raised, falses, deaths
 }
 
-// baselines computes, from the same encoded records, what a node would send
-// and receive in a second if each node told every other its record once in a
-// probe period, and if each sent its full state to one peer a period.
+// baselines computes, from the same encoded records, what a node would send and receive per
+// second if each node sent every other one its record once per probe period, and if each sent
+// its full state to one peer per period.
 func baselines(w *mesh) (heartbeat, full float64) {
 	v := w.nodes[0]
 	record := float64(proto.Size(encodeRecord(&v.self)))
@@ -200,8 +202,8 @@
 	return heartbeat, full
 }
 
-// TestMeasure prints what the protocol costs, for the sizes in
-// MARLPASS_MEASURE, separated by commas. It judges nothing.
+// TestMeasure prints the costs of the protocol, for the sizes in MARLPASS_MEASURE, separated by
+// commas. It checks nothing.
 func TestMeasure(t *testing.T) {
 	sizes := os.Getenv("MARLPASS_MEASURE")
 	if sizes == "" {
@@ -215,7 +217,7 @@
 		m := measure(n)
 		fmt.Printf("n=%d peers=%.1f idle_B/s mean=%.0f max=%.0f messages/s=%.2f | heartbeat_B/s=%.0f (%.1fx) full_B/s=%.0f (%.1fx)\n",
 			n, m.peers, m.idleMean, m.idleMax, m.requests, m.baseHeartbeat, m.baseHeartbeat/m.idleMean, m.baseFull, m.baseFull/m.idleMean)
-		fmt.Printf("n=%d lazy=%v urgent99=%v urgent=%v applied=%v applied_B=%.0f | 5%% loss, %d min: suspicions=%d false=%d deaths=%d oldest word=%v\n",
-			n, m.change, m.urgent99, m.urgent, m.applied, m.appliedBytes, lossMinutes, m.suspicions, m.falses, m.deaths, m.age)
+		fmt.Printf("n=%d lazy=%v urgent99=%v urgent=%v applied=%v applied_B=%.0f | 5%% loss, %d min: suspicions=%d false=%d deaths=%d oldest centre=%v\n",
+			n, m.change, m.urgent99, m.urgent, m.applied, m.appliedBytes, lossMinutes, m.suspicions, m.falses, m.deaths, m.maxAge)
 	}
 }
--- a/internal/membership/mesh_test.go
+++ b/internal/membership/mesh_test.go
@@ -14,8 +14,8 @@
 	"github.com/marlpass/marlpass/internal/testseed"
 )
 
-// TestMain fixes the seed of the properties, so that they give the same verdict
-// in every run, and their number, unless a flag gives another.
+// TestMain fixes the seed and the number of the property checks, so that every run gives the
+// same result, unless a flag overrides them.
 func TestMain(m *testing.M) { testseed.Main(m, nil) }
 
 var (
@@ -23,9 +23,8 @@
 	epoch   = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// mesh joins several States by a network of its own in virtual time. It can
-// lose, delay, double and reorder messages, part nodes, pause and restart
-// them.
+// mesh connects several States by a simulated network in virtual time. It can lose, delay,
+// duplicate and reorder messages, partition nodes, and pause and restart them.
 type mesh struct {
 	now    time.Time
 	rnd    *rand.Rand
@@ -33,28 +32,28 @@
 	byAddr map[string]*vm
 	events agenda.EventQueue
 
-	loss, double float64
-	delayMax     time.Duration
-	parted       func(a, b *vm) bool
-	configure    func(*Config)
+	loss, duplication float64
+	delayMax          time.Duration
+	partitioned       func(a, b *vm) bool
+	configure         func(*Config)
 
 	messages  uint64
-	bytes     uint64 // of messages, both ways, without overhead
+	bytes     uint64 // of messages in both directions, without overhead
 	delivered func(to *vm, m *peerpb.Membership)
 }
 
-// vm is one node of the mesh; restarts give it a new state.
+// vm is one node of the mesh. A restart gives it a new state.
 type vm struct {
 	*State
-	info   VM
-	index  int
-	up     bool
-	paused bool
-	life   int
+	info       VM
+	index      int
+	up         bool
+	paused     bool
+	generation int
 }
 
-// newMesh makes n nodes, spread over the data centres in turn. Two thirds of
-// the data centres are in one region.
+// newMesh creates n nodes, assigned to the data centres in turn. Two thirds of the data centres
+// are in one region.
 func newMesh(n, centres int, configure func(*Config)) *mesh {
 	w := &mesh{
 		now:       epoch,
@@ -85,7 +84,7 @@
 	return v
 }
 
-// start gives a node empty memory.
+// start starts a node with an empty state.
 func (w *mesh) start(v *vm) {
 	cfg := DefaultConfig(v.info)
 	for _, o := range w.nodes {
@@ -96,22 +95,22 @@
 	if w.configure != nil {
 		w.configure(&cfg)
 	}
-	v.life++
+	v.generation++
 	v.up, v.paused = true, false
-	v.State = New(cfg, w.now, rand.New(rand.NewPCG(uint64(v.index), uint64(v.life))))
-	w.tickLater(v, v.life)
+	v.State = New(cfg, w.now, rand.New(rand.NewPCG(uint64(v.index), uint64(v.generation))))
+	w.scheduleTick(v, v.generation)
 }
 
-func (w *mesh) tickLater(v *vm, life int) {
+func (w *mesh) scheduleTick(v *vm, life int) {
 	phase := time.Duration(v.index%100) * time.Millisecond
-	w.at(w.now.Truncate(tickEvery).Add(tickEvery+phase), func() {
-		if v.life != life || !v.up {
+	w.at(w.now.Truncate(tickInterval).Add(tickInterval+phase), func() {
+		if v.generation != life || !v.up {
 			return
 		}
 		if !v.paused {
 			w.drive(v)
 		}
-		w.tickLater(v, life)
+		w.scheduleTick(v, life)
 	})
 }
 
@@ -125,7 +124,7 @@
 	return time.Millisecond + time.Duration(w.rnd.Int64N(int64(w.delayMax)))
 }
 
-// run lets virtual time go on.
+// run advances the virtual time by d.
 func (w *mesh) run(d time.Duration) {
 	end := w.now.Add(d)
 	for at, do, ok := w.events.Next(end); ok; at, do, ok = w.events.Next(end) {
@@ -135,15 +134,15 @@
 	w.now = end
 }
 
-// runUntil runs until the condition holds and returns how long it took; it
-// gives up after limit.
+// runUntil runs until the condition holds, and at most for limit. It returns the time that this
+// took.
 func (w *mesh) runUntil(limit time.Duration, done func() bool) (time.Duration, bool) {
 	begin := w.now
 	for w.now.Sub(begin) < limit {
 		if done() {
 			return w.now.Sub(begin), true
 		}
-		w.run(tickEvery)
+		w.run(tickInterval)
 	}
 	return limit, done()
 }
@@ -155,18 +154,18 @@
 }
 
 func (w *mesh) lost(a, b *vm) bool {
-	return b == nil || !b.up || b.paused || (w.parted != nil && w.parted(a, b)) || w.rnd.Float64() < w.loss
+	return b == nil || !b.up || b.paused || (w.partitioned != nil && w.partitioned(a, b)) || w.rnd.Float64() < w.loss
 }
 
-// deliver carries a request, perhaps twice, and its answer back.
+// deliver carries a request, perhaps twice, and its answer.
 func (w *mesh) deliver(from *vm, s OutgoingRequest) {
-	life := from.life
+	life := from.generation
 	w.count(s.Msg)
 	w.after(s.Timeout, func() { // a second report of the outcome is ignored
 		w.report(from, life, func() { from.HandleFailure(w.now, s.ID, errLost) })
 	})
 	copies := 1
-	if w.rnd.Float64() < w.double {
+	if w.rnd.Float64() < w.duplication {
 		copies = 2
 	}
 	for range copies {
@@ -191,7 +190,7 @@
 }
 
 func (w *mesh) report(v *vm, life int, f func()) {
-	if v.life == life && v.up && !v.paused {
+	if v.generation == life && v.up && !v.paused {
 		f()
 		w.drive(v)
 	}
@@ -208,11 +207,11 @@
 	w.bytes += uint64(proto.Size(m))
 }
 
-// settled tells whether every running node sees exactly the running nodes, all
-// alive, in their own latest records.
-func (w *mesh) settled() bool { return w.unsettled() == "" }
+// converged reports whether every running node sees exactly the running nodes, all alive, by
+// their latest records.
+func (w *mesh) converged() bool { return w.divergence() == "" }
 
-func (w *mesh) unsettled() string {
+func (w *mesh) divergence() string {
 	up := 0
 	for _, v := range w.nodes {
 		if v.up && v.self.State == VMAlive {
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// View returns the current picture. It is built anew only after a change; the
-// records that did not change are shared with the picture before.
+// View returns the current view. It is rebuilt only after a change; unchanged records are shared
+// with the previous view.
 func (s *State) View(now time.Time) *View {
 	s.advance(now)
 	if s.view != nil && !s.viewDirty && !s.heldDirty {
@@ -22,38 +22,39 @@
 	v.Records[v.Self] = &ObservedRecord{Record: s.self, UpdatedAt: s.now}
 	for id, e := range s.entries {
 		if !e.dead {
-			v.Records[id] = s.seen(e)
+			v.Records[id] = s.observed(e)
 		}
 	}
 	s.view = v
 	return v
 }
 
-// Stale tells whether the last View is out of date, and whether in more than
-// the versions that nodes hold.
+// Stale reports whether the last View is out of date, and whether in more than the versions that
+// nodes hold.
 func (s *State) Stale() (any, records bool) {
 	return s.viewDirty || s.heldDirty || s.view == nil, s.viewDirty || s.view == nil
 }
 
-func (s *State) seen(e *entry) *ObservedRecord {
+func (s *State) observed(e *entry) *ObservedRecord {
 	state := e.rec.State
-	if state == VMAlive && (e.suspicion != nil || s.unheard(e)) {
+	if state == VMAlive && (e.suspicion != nil || s.cutOffSinceExchange(e)) {
 		state = VMSuspect
 	}
 	if e.published != nil && e.published.State == state {
 		return e.published
 	}
-	e.published = &ObservedRecord{Record: e.rec, UpdatedAt: e.heard}
+	e.published = &ObservedRecord{Record: e.rec, UpdatedAt: e.updatedAt}
 	e.published.State = state
-	if e.held > e.rec.AppliedVersion {
-		// Only the number of the newer version is known.
-		e.published.AppliedVersion, e.published.AppliedHash = e.held, [8]byte{}
+	if e.heldVersion > e.rec.AppliedVersion {
+		// The hash of the newer version is unknown.
+		e.published.AppliedVersion, e.published.AppliedHash = e.heldVersion, [8]byte{}
 	}
 	return e.published
 }
 
-// unheard tells whether e is behind a cut and was not itself reached since.
-func (s *State) unheard(e *entry) bool {
+// cutOffSinceExchange reports whether the data centre of e is cut off and e itself was not
+// reached since.
+func (s *State) cutOffSinceExchange(e *entry) bool {
 	since, cut := s.cutOff[e.centre.name]
-	return cut && !e.ok.After(since)
+	return cut && !e.lastExchange.After(since)
 }
--- a/internal/membership/ring.go
+++ b/internal/membership/ring.go
@@ -8,8 +8,8 @@
 	"github.com/dgryski/go-rendezvous"
 )
 
-// order returns the live entries of a data centre by key, without this node.
-func (s *State) order(c *centre) []*entry {
+// sortedMembers returns the live entries of a data centre ordered by key, without this node.
+func (s *State) sortedMembers(c *centre) []*entry {
 	if c.members != nil {
 		return c.members
 	}
@@ -23,25 +23,25 @@
 	return c.members
 }
 
-// neighbours returns the nodes at distances 1, 2, 4 and so on from the node
-// with this key in the ring of the own data centre, onwards or backwards. This
-// node itself may be among them as nil.
+// neighbours returns the nodes at distances 1, 2, 4 and so on from the node with this key in the
+// ring of the home data centre, forwards or backwards. This node itself may be among them as
+// nil.
 //
-// A node probes its neighbours onwards and is probed by those backwards. So it
-// keeps connections to 2·log2(n) peers, each node has log2(n) observers, and a
-// rumour crosses the ring in log2(n) steps.
+// A node probes its neighbours forwards and is probed by those backwards. So it keeps
+// connections to 2·log2(n) peers, each node has log2(n) observers, and a change crosses the ring
+// in log2(n) steps.
 func (s *State) neighbours(key uint64, backwards bool) []*entry {
 	ring := s.ring()
 	n := len(ring)
-	at, found := slices.BinarySearchFunc(ring, key, func(e *entry, k uint64) int { return cmp.Compare(s.keyOf(e), k) })
+	self, found := slices.BinarySearchFunc(ring, key, func(e *entry, k uint64) int { return cmp.Compare(s.keyOf(e), k) })
 	if !found || n < 2 {
 		return nil
 	}
 	var out []*entry
 	for d := 1; d < n; d *= 2 {
-		i := at + d
+		i := self + d
 		if backwards {
-			i = at - d + n
+			i = self - d + n
 		}
 		out = append(out, ring[i%n])
 	}
@@ -55,13 +55,13 @@
 	return e.key
 }
 
-// ring is the own data centre by key; nil stands for this node. Leaving nodes
-// are not in it.
+// ring returns the nodes of the home data centre ordered by key, with nil for this node and
+// without leaving nodes.
 func (s *State) ring() []*entry {
 	if s.ringCache != nil {
 		return s.ringCache
 	}
-	members := s.order(s.home)
+	members := s.sortedMembers(s.home)
 	ring := make([]*entry, 0, len(members)+1)
 	for _, e := range members {
 		if e.rec.State == VMAlive {
@@ -70,7 +70,7 @@
 	}
 	at := sort.Search(len(ring), func(i int) bool { return ring[i].key > s.key })
 	s.ringCache = slices.Insert(ring, at, nil)
-	s.fingers = s.neighbours(s.key, false)
+	s.probeTargets = s.neighbours(s.key, false)
 	s.observers = s.neighbours(s.key, true)
 	return s.ringCache
 }
@@ -79,7 +79,7 @@
 func (s *State) peers() []*entry {
 	s.ring()
 	var out []*entry
-	for _, e := range slices.Concat(s.fingers, s.observers) {
+	for _, e := range slices.Concat(s.probeTargets, s.observers) {
 		if e != nil && e.suspicion == nil && !slices.Contains(out, e) {
 			out = append(out, e)
 		}
@@ -87,13 +87,12 @@
 	return out
 }
 
-// chosen returns the n nodes of a data centre that rendezvous hashing picks
-// as bridges; nil stands for this node. Views differ for a while after a
-// change, so there may be more bridges than n for that while, or one that is
-// gone: the work is harmless when doubled.
-func (s *State) chosen(c *centre, n int) []*entry {
+// selectBridges returns up to n nodes of a data centre, chosen as bridges by rendezvous hashing;
+// nil stands for this node. Views differ for a while after a change, so there may be more than n
+// bridges, or a bridge that is gone: the work is harmless if done twice.
+func (s *State) selectBridges(c *centre, n int) []*entry {
 	var ids []string
-	for _, e := range s.order(c) {
+	for _, e := range s.sortedMembers(c) {
 		if e.suspicion == nil && e.rec.State == VMAlive {
 			ids = append(ids, e.rec.VM.ID)
 		}
@@ -105,28 +104,29 @@
 	var out []*entry
 	for range min(n, len(ids)) {
 		id := rendezvous.New(ids, keyOf).Lookup("bridge")
-		// The library's Remove panics, so the table is made anew.
+		// The library's Remove panics, so the table is rebuilt.
 		ids = slices.DeleteFunc(ids, func(other string) bool { return other == id })
 		out = append(out, s.entries[id])
 	}
 	return out
 }
 
-// bridgesOf returns the bridges of a data centre.
+// bridgesOf returns the bridges of a data centre: the nodes that exchange gossip with other data
+// centres.
 func (s *State) bridgesOf(c *centre) []*entry {
 	if c.bridges == nil {
-		c.bridges = s.chosen(c, s.cfg.Bridges)
+		c.bridges = s.selectBridges(c, s.cfg.Bridges)
 	}
 	return c.bridges
 }
 
-func (s *State) amBridge() bool { return slices.Contains(s.bridgesOf(s.home), nil) }
+func (s *State) isBridge() bool { return slices.Contains(s.bridgesOf(s.home), nil) }
 
-// ShouldWriteContact tells whether this node should write its row of contacts: only a
-// few nodes of each data centre, its bridges, do.
-func (s *State) ShouldWriteContact() bool { return s.joined && s.amBridge() }
+// ShouldWriteContact reports whether this node should write its contact row. Only the bridges of
+// each data centre do.
+func (s *State) ShouldWriteContact() bool { return s.joined && s.isBridge() }
 
-// shuffled returns up to n of list in random order.
+// shuffled returns up to n elements of list in random order.
 func shuffled[T any](s *State, list []T, n int) []T {
 	out := slices.Clone(list)
 	s.rnd.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
