--- a/internal/agenda/agenda.go
+++ b/internal/agenda/agenda.go
@@ -1,5 +1,5 @@
-// Package agenda holds what is to happen in virtual time, in its order. The models of the
-// tests run by it.
+// Package agenda provides an event queue for discrete-event simulations in virtual time. The models
+// in tests run on it.
 package agenda
 
 import (
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// EventQueue is a list of events. What stands for the same moment happens in the order in which
-// it was put there, so that a run with the same seed gives the same figures. The zero EventQueue
-// is empty. It is not safe for concurrent use.
+// EventQueue is a queue of events, ordered by time. Events of the same time run in the order in
+// which they were scheduled, so that runs with the same seed give the same results. The zero
+// EventQueue is empty. It is not safe for concurrent use.
 type EventQueue struct {
 	events events
 	added  uint64
@@ -21,30 +21,30 @@
 	do    func(now time.Time)
 }
 
-// Schedule puts do on the agenda.
-func (a *EventQueue) Schedule(t time.Time, do func(now time.Time)) {
-	a.added++
-	heap.Push(&a.events, event{t, a.added, do})
+// Schedule adds an event that calls do at time t.
+func (q *EventQueue) Schedule(t time.Time, do func(now time.Time)) {
+	q.added++
+	heap.Push(&q.events, event{t, q.added, do})
 }
 
-// Next takes the next event off, if it comes by end.
-func (a *EventQueue) Next(end time.Time) (at time.Time, do func(now time.Time), ok bool) {
-	if len(a.events) == 0 || a.events[0].at.After(end) {
+// Next removes and returns the next event; ok is false if there is none up to end.
+func (q *EventQueue) Next(end time.Time) (at time.Time, do func(now time.Time), ok bool) {
+	if len(q.events) == 0 || q.events[0].at.After(end) {
 		return time.Time{}, nil, false
 	}
-	e := heap.Pop(&a.events).(event)
+	e := heap.Pop(&q.events).(event)
 	return e.at, e.do, true
 }
 
-// Run runs all events, with those that they add.
-func (a *EventQueue) Run() {
-	for len(a.events) > 0 {
-		e := heap.Pop(&a.events).(event)
+// Run runs all events, including those that they schedule.
+func (q *EventQueue) Run() {
+	for len(q.events) > 0 {
+		e := heap.Pop(&q.events).(event)
 		e.do(e.at)
 	}
 }
 
-// events is a heap.Interface.
+// events implements heap.Interface.
 type events []event
 
 func (e events) Len() int { return len(e) }
--- a/internal/agenda/agenda_test.go
+++ b/internal/agenda/agenda_test.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-func TestOrder(t *testing.T) {
+// Guards against events that run out of order, which would make simulations irreproducible.
+func TestEventOrder(t *testing.T) {
 	start := time.Unix(0, 0)
-	var a EventQueue
+	var q EventQueue
 	var got []string
-	note := func(s string) func(time.Time) { return func(time.Time) { got = append(got, s) } }
-	a.Schedule(start.Add(2), note("late"))
-	a.Schedule(start.Add(1), note("first"))
-	a.Schedule(start.Add(1), func(now time.Time) {
-		note("second")(now)
-		a.Schedule(now, note("third"))
+	record := func(s string) func(time.Time) { return func(time.Time) { got = append(got, s) } }
+	q.Schedule(start.Add(2), record("late"))
+	q.Schedule(start.Add(1), record("first"))
+	q.Schedule(start.Add(1), func(now time.Time) {
+		record("second")(now)
+		q.Schedule(now, record("third"))
 	})
-	if _, _, ok := a.Next(start); ok {
-		t.Fatal("an event came before its time")
+	if _, _, ok := q.Next(start); ok {
+		t.Fatal("an event is returned before its time")
 	}
-	at, do, ok := a.Next(start.Add(1))
+	at, do, ok := q.Next(start.Add(1))
 	if !ok || !at.Equal(start.Add(1)) {
 		t.Fatal(at, ok)
 	}
 	do(at)
-	a.Run()
+	q.Run()
 	if want := []string{"first", "second", "third", "late"}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
--- a/internal/drain/calls.go
+++ b/internal/drain/calls.go
@@ -1,12 +1,12 @@
-// Package drain counts the calls that a server has in its hands, and tells when its sockets can be
-// closed in a planned stop without losing a call.
+// Package drain counts the calls in flight in a server, and closes its sockets in a planned stop
+// without losing a call.
 //
-// When a server closes a kept connection in the moment its client sends the next call on it, the
-// client can't know whether the call ran. The same goes for a connection that waits to be
-// accepted. So a leaving server closes no connection as long as it can: each answer says
-// Connection: close, after which the client sends nothing more on it. The listening sockets close
-// first, so that nobody begins anew, and the connections once the calls in flight have ended and
-// none has come for a while. Servers keeps that order.
+// When a server closes a keep-alive connection just as its client sends the next call, the client
+// can't know whether the call ran. The same holds for a connection that waits to be accepted. So a
+// draining server keeps connections open as long as it can: each response has Connection: close,
+// after which the client sends nothing more on the connection. The listening sockets close first,
+// so that no new connection is made. The connections close once no call is in flight and none has
+// arrived for a while. Servers implements this order.
 package drain
 
 import (
@@ -18,24 +18,25 @@
 	"github.com/marlpass/marlpass/internal/wait"
 )
 
-// Calls counts the calls of one process. Its zero value is ready for use.
+// Calls counts the calls of one process. The zero value is ready for use.
 type Calls struct {
-	leaving  atomic.Bool
-	noneNew  atomic.Bool // no connection is accepted any more
-	inFlight atomic.Int64
-	started  atomic.Uint64
+	draining      atomic.Bool
+	acceptStopped atomic.Bool // no new connection is accepted
+	inFlight      atomic.Int64
+	started       atomic.Uint64
 }
 
-// StartDraining asks clients to go elsewhere: each answer from now on ends its connection.
-func (c *Calls) StartDraining() { c.leaving.Store(true) }
+// StartDraining makes each response from now on close its connection, so that clients go elsewhere.
+func (c *Calls) StartDraining() { c.draining.Store(true) }
 
-// InFlight returns how many calls are in the process's hands.
+// InFlight returns the number of calls in flight.
 func (c *Calls) InFlight() int64 { return c.inFlight.Load() }
 
-// Started returns how many calls have come since the start of the process.
+// Started returns how many calls have arrived since the start of the process.
 func (c *Calls) Started() uint64 { return c.started.Load() }
 
-// UnreadBodyTimeout is how long the rest of a body that nobody read may take to come.
+// UnreadBodyTimeout bounds how long the rest of a request body that the handler left unread may
+// take to arrive.
 const UnreadBodyTimeout = 5 * time.Second
 
 var closeConnection = []string{"close"}
@@ -46,79 +47,78 @@
 		c.started.Add(1)
 		c.inFlight.Add(1)
 		defer c.inFlight.Add(-1)
-		if c.leaving.Load() {
+		if c.draining.Load() {
 			w.Header()["Connection"] = closeConnection
 		}
 		h.ServeHTTP(w, r)
-		boundUnread(w, r)
+		limitUnreadBody(w, r)
 	})
 }
 
-// boundUnread bounds how long net/http reads on in a body that the handler left.
+// limitUnreadBody limits how long net/http reads a body that the handler left unread.
 //
-// It guards against a caller that sends the header of a call and falls silent.
-// When the call is refused, net/http reads the body before it sends the answer,
-// and without a bound the connection is never done with: a stop would wait for
-// it until the drain limit. The next request on the connection sets its own
-// bound.
-func boundUnread(w http.ResponseWriter, r *http.Request) {
+// It guards against a caller that sends the header of a call and then stalls. When the call is
+// refused, net/http reads the body before it sends the response. Without a deadline the connection
+// never becomes idle, and a stop waits for it until the drain limit. The next request on the
+// connection sets its own deadline.
+func limitUnreadBody(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength != 0 {
-		// An error means that the connection is gone already.
+		// An error means that the connection is already closed.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(UnreadBodyTimeout))
 	}
 }
 
 const (
-	// lookEvery is how often a leaving server looks whether its calls have ended.
-	lookEvery = 10 * time.Millisecond
-	// quietFor is how long no call may have come: a call may be on its way from another region,
-	// on a connection that is being made.
-	quietFor = 100 * time.Millisecond
-	// quietWithin bounds the wait for that while connections are accepted: some clients never
-	// learn that the server leaves, and come again and again.
-	quietWithin = time.Second
-	// closeWithin is what the wait for quiet leaves of a stop's time for closing the connections.
-	closeWithin = 500 * time.Millisecond
+	// pollInterval is how often a draining server checks whether its calls have ended.
+	pollInterval = 10 * time.Millisecond
+	// quietPeriod is how long no call may arrive before connections are closed: a call may be in
+	// transit from another region, on a connection that is being established.
+	quietPeriod = 100 * time.Millisecond
+	// quietTimeout bounds the wait for that while connections are accepted: some clients don't
+	// notice that the server drains, and keep reconnecting.
+	quietTimeout = time.Second
+	// closeReserve is the part of a stop's time that is left for closing the connections.
+	closeReserve = 500 * time.Millisecond
 )
 
-// Wait returns when no call is in flight and none has come for a while, or with ctx's error. Where
-// calls come all the while it ends without that quiet, in time for closing the connections before
-// ctx's deadline.
+// Wait returns once no call is in flight and none has arrived for a quiet period, or with ctx's
+// error. If calls keep arriving, it returns without the quiet period, early enough to close the
+// connections before ctx's deadline.
 func (c *Calls) Wait(ctx context.Context) error {
 	if err := c.waitIdle(ctx); err != nil {
 		return err
 	}
-	end, bounded := c.quietUntil(ctx)
+	end, bounded := c.quietDeadline(ctx)
 	for !bounded || time.Now().Before(end) {
-		seen := c.Started()
-		if err := wait.For(ctx, quietFor); err != nil {
+		started := c.Started()
+		if err := wait.For(ctx, quietPeriod); err != nil {
 			return err
 		}
 		if err := c.waitIdle(ctx); err != nil {
 			return err
 		}
-		if c.Started() == seen {
+		if c.Started() == started {
 			return nil
 		}
 	}
 	return c.waitIdle(ctx)
 }
 
-// quietUntil returns until when quiet is waited for. Once no connection is accepted any more, ctx is
-// the only bound: what can still come is one call on each connection that is left, since its answer
-// ends it.
-func (c *Calls) quietUntil(ctx context.Context) (end time.Time, bounded bool) {
-	if !c.noneNew.Load() {
-		return time.Now().Add(quietWithin), true
+// quietDeadline returns the end of the wait for a quiet period. Once no connection is accepted, ctx
+// is the only bound: each remaining connection carries at most one more call, since its response
+// closes the connection.
+func (c *Calls) quietDeadline(ctx context.Context) (end time.Time, bounded bool) {
+	if !c.acceptStopped.Load() {
+		return time.Now().Add(quietTimeout), true
 	}
 	deadline, ok := ctx.Deadline()
-	return deadline.Add(-closeWithin), ok
+	return deadline.Add(-closeReserve), ok
 }
 
 // waitIdle returns when no call is in flight.
 func (c *Calls) waitIdle(ctx context.Context) error {
 	for c.InFlight() > 0 {
-		if err := wait.For(ctx, lookEvery); err != nil {
+		if err := wait.For(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
--- a/internal/drain/calls_test.go
+++ b/internal/drain/calls_test.go
@@ -13,16 +13,16 @@
 	c.Handler(h).ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil))
 }
 
-// Guards against sockets that are closed while clients still send: they stay open until no call
-// is in flight and none has come for a while.
+// Guards against sockets that close while clients still send: they must stay open until no call is in
+// flight and none has arrived for a quiet period.
 func TestWaitOutlastsCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Calls
-		begun := time.Now()
+		start := time.Now()
 		go c.serve(func(http.ResponseWriter, *http.Request) { time.Sleep(time.Second) })
 		go func() {
 			for range 30 {
-				time.Sleep(quietFor / 2)
+				time.Sleep(quietPeriod / 2)
 				c.serve(func(http.ResponseWriter, *http.Request) {})
 			}
 		}()
@@ -30,58 +30,58 @@
 		if err := c.Wait(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		last := begun.Add(30 * quietFor / 2)
-		if left := time.Since(last); left < quietFor || left > 2*quietFor {
-			t.Errorf("waited %v after the last call, want %v at least", left, quietFor)
+		last := start.Add(30 * quietPeriod / 2)
+		if left := time.Since(last); left < quietPeriod || left > 2*quietPeriod {
+			t.Errorf("waited %v after the last call, want %v at least", left, quietPeriod)
 		}
 	})
 }
 
-// Guards a planned stop against clients that never learn of it: it doesn't last until its limit.
-func TestWaitEndsThoughClientsGoOn(t *testing.T) {
+// Guards against clients that ignore the drain and prolong a planned stop until its limit.
+func TestWaitEndsWhileClientsSend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Calls
 		go func() {
 			for range 100 {
-				time.Sleep(quietFor / 2)
+				time.Sleep(quietPeriod / 2)
 				c.serve(func(http.ResponseWriter, *http.Request) {})
 			}
 		}()
-		begun := time.Now()
+		start := time.Now()
 		if err := c.Wait(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if took := time.Since(begun); took > quietWithin+quietFor {
+		if took := time.Since(start); took > quietTimeout+quietPeriod {
 			t.Errorf("waited %v", took)
 		}
-		time.Sleep(100 * quietFor) // until the client has ended
+		time.Sleep(100 * quietPeriod) // until the client has ended
 	})
 }
 
-// Guards the connections that are left once the sockets are closed: each may still bring a call, and
-// the wait ended after a second and had the next ones cut.
-func TestWaitOutlastsKeptConnections(t *testing.T) {
+// Guards against lost calls on the connections that remain once the sockets are closed. The wait
+// ended after a second, and the calls that followed lost their connections.
+func TestWaitOutlastsOpenConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Calls
-		c.noneNew.Store(true)
+		c.acceptStopped.Store(true)
 		const left = 100
-		begun := time.Now()
+		start := time.Now()
 		go func() {
 			for range left {
-				time.Sleep(quietFor / 2)
+				time.Sleep(quietPeriod / 2)
 				c.serve(func(http.ResponseWriter, *http.Request) {})
 			}
 		}()
 		if err := c.Wait(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if took := time.Since(begun); took < left*quietFor/2+quietFor || took > left*quietFor/2+2*quietFor {
+		if took := time.Since(start); took < left*quietPeriod/2+quietPeriod || took > left*quietPeriod/2+2*quietPeriod {
 			t.Errorf("waited %v", took)
 		}
 	})
 }
 
-// Guards the limit of a planned stop against clients that send on and on.
+// Guards the limit of a planned stop against a call that doesn't end.
 func TestWaitEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Calls
@@ -90,14 +90,15 @@
 		go c.serve(func(http.ResponseWriter, *http.Request) { time.Sleep(time.Minute) })
 		time.Sleep(time.Millisecond)
 		if err := c.Wait(ctx); err == nil {
-			t.Error("the call in flight isn't waited for")
+			t.Error("Wait returned nil with a call in flight")
 		}
 		time.Sleep(time.Minute) // until it has ended
 	})
 }
 
-// Guards the connections of clients that go on: each answer ends its own while the server leaves.
-func TestLeavingEndsConnections(t *testing.T) {
+// Guards against clients that keep sending to a draining server: each response must close its
+// connection.
+func TestDrainingClosesConnections(t *testing.T) {
 	var c Calls
 	for _, want := range []string{"", "close"} {
 		w := httptest.NewRecorder()
--- a/internal/drain/listener.go
+++ b/internal/drain/listener.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// emptyFor is how long nobody may have come before a socket is closed.
-	emptyFor = 10 * time.Millisecond
-	// takeWithin is when a shorter pause has to do, where clients come all the while.
-	takeWithin = 100 * time.Millisecond
-	shortPause = time.Millisecond
+	// emptyPeriod is how long no connection may arrive before a socket is closed.
+	emptyPeriod = 10 * time.Millisecond
+	// emptyTimeout is the time after which a shorter period suffices, for clients that keep
+	// connecting.
+	emptyTimeout     = 100 * time.Millisecond
+	shortEmptyPeriod = time.Millisecond
 )
 
-// Listener is a listening socket that can be closed without resetting the connections that the
-// kernel has made on it and nobody has accepted yet: their clients may have sent a call already.
+// Listener is a listening socket that can be closed without resetting the connections in the
+// kernel's accept queue, whose clients may have sent a call already.
 type Listener struct {
 	net.Listener
-	deadline func(time.Time) error // nil where the listener has none
+	setDeadline func(time.Time) error // nil where the listener has none
 
 	mu       sync.Mutex // guards the next two
 	stopping bool
-	end      time.Time // a short pause does after it
+	end      time.Time // shortEmptyPeriod applies after it
 
-	empty     chan struct{} // closed once nobody waits any more
+	empty     chan struct{} // closed once the accept queue is empty
 	emptyOnce sync.Once
 	closeOnce sync.Once
 }
@@ -36,24 +37,24 @@
 func NewListener(ln net.Listener) *Listener {
 	l := &Listener{Listener: ln, empty: make(chan struct{})}
 	if d, ok := ln.(interface{ SetDeadline(time.Time) error }); ok {
-		l.deadline = d.SetDeadline
+		l.setDeadline = d.SetDeadline
 	}
 	return l
 }
 
-// Accept implements net.Listener. Once the listener is stopped it returns the connections that
-// wait, then closes the socket and returns net.ErrClosed.
+// Accept implements net.Listener. Once the listener is stopped it returns the connections in the
+// accept queue, then closes the socket and returns net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		looking := l.begin()
+		draining := l.startAccept()
 		conn, err := l.Listener.Accept()
 		switch {
 		case err == nil:
 			return conn, nil
 		case !l.Stopping():
 			return nil, err
-		case errors.Is(err, os.ErrDeadlineExceeded) && (!looking || l.somebodyWaits()):
-			// The deadline has only woken it up, or passed before Accept looked.
+		case errors.Is(err, os.ErrDeadlineExceeded) && (!draining || l.hasPending()):
+			// The deadline only woke up Accept, or passed before Accept checked the queue.
 		case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed):
 			l.Close()
 			l.emptyOnce.Do(func() { close(l.empty) })
@@ -64,23 +65,23 @@
 	}
 }
 
-// begin sets how long the next connection is waited for, and reports whether the listener is
-// stopping, so that Accept looks for those who wait already.
-func (l *Listener) begin() (looking bool) {
+// startAccept sets the deadline for the next connection, and reports whether the listener is
+// stopping, so that Accept empties the queue.
+func (l *Listener) startAccept() (draining bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.stopping || l.deadline == nil {
+	if !l.stopping || l.setDeadline == nil {
 		return l.stopping
 	}
-	now, pause := time.Now(), emptyFor
+	now, period := time.Now(), emptyPeriod
 	if now.After(l.end) {
-		pause = shortPause
+		period = shortEmptyPeriod
 	}
-	_ = l.deadline(now.Add(pause)) // an error means that the socket is closed, which Accept tells
+	_ = l.setDeadline(now.Add(period)) // an error means that the socket is closed; Accept returns it
 	return true
 }
 
-// Close implements net.Listener. It may be called again.
+// Close implements net.Listener. It may be called more than once.
 func (l *Listener) Close() error {
 	var err error
 	l.closeOnce.Do(func() { err = l.Listener.Close() })
@@ -94,12 +95,12 @@
 	return l.stopping
 }
 
-// Stop closes the socket, once those who wait at it were accepted by whoever calls Accept. It
-// returns when that is done, or at the end of ctx, or when nobody accepts.
+// Stop closes the socket once the goroutine that calls Accept has emptied the accept queue. It
+// returns when that is done, at the end of ctx, or after 2*emptyTimeout if nothing calls Accept.
 func (l *Listener) Stop(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, 2*takeWithin)
+	ctx, cancel := context.WithTimeout(ctx, 2*emptyTimeout)
 	defer cancel()
-	l.wake()
+	l.wakeAccept()
 	select {
 	case <-l.empty:
 	case <-ctx.Done():
@@ -107,15 +108,15 @@
 	l.Close()
 }
 
-// wake makes the Accept that waits look whether it is to go on.
-func (l *Listener) wake() {
+// wakeAccept makes a blocked Accept check whether the listener is stopping.
+func (l *Listener) wakeAccept() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.stopping {
 		return
 	}
-	l.stopping, l.end = true, time.Now().Add(takeWithin)
-	if l.deadline == nil || l.deadline(time.Unix(1, 0)) != nil {
+	l.stopping, l.end = true, time.Now().Add(emptyTimeout)
+	if l.setDeadline == nil || l.setDeadline(time.Unix(1, 0)) != nil {
 		l.Close()
 	}
 }
--- a/internal/drain/order_test.go
+++ b/internal/drain/order_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// lateCaller is a server on one of whose connections a call comes after it stopped accepting.
+// lateCaller is a server that receives a call on an open connection after it stopped accepting.
 type lateCaller struct {
 	calls           *Calls
 	stopped, called bool
-	cut             bool // the connections were closed before the call came
+	cut             bool // connections closed before the call arrived
 }
 
 func (l *lateCaller) StopAccepting(context.Context) {
 	l.stopped = true
 	go func() {
-		time.Sleep(quietFor - time.Millisecond)
+		time.Sleep(quietPeriod - time.Millisecond)
 		l.calls.serve(func(http.ResponseWriter, *http.Request) { l.called = true })
 	}()
 }
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// Guards the calls that were on their way as the sockets closed, on any of a node's servers: no
-// connection is closed before all servers have stopped accepting and nothing came for a while.
+// Guards against calls that are lost in transit as the sockets close. No connection may close before
+// all servers have stopped accepting and no call has arrived for a quiet period.
 func TestConnectionsCloseLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Calls
@@ -41,6 +41,6 @@
 		if first.cut || second.cut {
 			t.Errorf("cut: %v, %v", first.cut, second.cut)
 		}
-		time.Sleep(quietFor)
+		time.Sleep(quietPeriod)
 	})
 }
--- a/internal/drain/server.go
+++ b/internal/drain/server.go
@@ -8,10 +8,11 @@
 	"sync"
 )
 
-// Server is an http.Server that can stop accepting while it goes on serving. HTTP must be set.
+// Server is an http.Server that can stop accepting connections while it keeps serving. HTTP must be
+// set.
 type Server struct {
 	HTTP *http.Server
-	// TLS is how connections are encrypted; nil means plain text.
+	// TLS is the configuration of connections; nil means plain text.
 	TLS *tls.Config
 
 	mu       sync.Mutex // guards the rest
@@ -41,8 +42,8 @@
 	return err
 }
 
-// StopAccepting closes the socket, once those who wait at it were accepted. Their calls, and those
-// on the other connections, are served on.
+// StopAccepting closes the socket once its accept queue is empty. Calls on the connections accepted
+// so far are still served.
 func (s *Server) StopAccepting(ctx context.Context) {
 	s.mu.Lock()
 	s.stopping = true
@@ -53,12 +54,12 @@
 	}
 }
 
-// Shutdown stops accepting, and closes each connection once it is idle. A call that comes in that
-// moment is cut: whoever stops on plan uses Servers.
+// Shutdown stops accepting, and closes each connection once it is idle. A call that arrives as its
+// connection closes is lost; planned stops use Servers.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.StopAccepting(ctx)
 	return s.HTTP.Shutdown(ctx)
 }
 
-// Close ends the server and its connections at once.
+// Close closes the server and its connections at once.
 func (s *Server) Close() error { return s.HTTP.Close() }
--- a/internal/drain/servers_test.go
+++ b/internal/drain/servers_test.go
@@ -17,8 +17,8 @@
 	"github.com/marlpass/marlpass/internal/pipeline"
 )
 
-// patience bounds each wait of these tests; no verdict depends on it.
-const patience = 20 * time.Second
+// waitTimeout bounds each wait of these tests; no check depends on it.
+const waitTimeout = 20 * time.Second
 
 // stoppable is a server that Servers can stop.
 type stoppable interface {
@@ -27,7 +27,7 @@
 	Close() error
 }
 
-// eachKind runs a test with each kind of server that a node has, whose calls are all answered.
+// eachKind runs a test with each kind of server that a node has. All calls are answered.
 func eachKind(t *testing.T, test func(t *testing.T, calls *drain.Calls, s stoppable)) {
 	ok := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "booked") })
 	t.Run("http", func(t *testing.T) {
@@ -64,15 +64,15 @@
 	return ln.(*net.TCPListener)
 }
 
-// book sends a booking.
-func book(c net.Conn) error {
+// sendBooking sends a booking.
+func sendBooking(c net.Conn) error {
 	_, err := io.WriteString(c, "POST /book HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi")
 	return err
 }
 
-// booked reads the answer to a booking.
-func booked(c net.Conn) error {
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+// readResponse reads the response to a booking.
+func readResponse(c net.Conn) error {
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return err
@@ -81,7 +81,7 @@
 	return err
 }
 
-// bookings returns so many connections, on each of which a booking was sent.
+// bookings opens n connections and sends a booking on each.
 func bookings(t *testing.T, addr net.Addr, n int) []net.Conn {
 	t.Helper()
 	var out []net.Conn
@@ -91,7 +91,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		if err := book(c); err != nil {
+		if err := sendBooking(c); err != nil {
 			t.Fatal(err)
 		}
 		out = append(out, c)
@@ -99,7 +99,7 @@
 	return out
 }
 
-// gated is a listener that accepts nothing until somebody wakes or closes it.
+// gated is a listener that accepts nothing until its deadline is set or it is closed.
 type gated struct {
 	*net.TCPListener
 	open chan struct{}
@@ -121,8 +121,8 @@
 	return g.TCPListener.Close()
 }
 
-// Guards the callers whose connections nobody has accepted yet as the node stops: the kernel
-// resets them with the socket, and their bookings, already sent, may have run for all they know.
+// Guards callers in the accept queue of a stopping node: if the kernel resets their connections with
+// the socket, they can't know whether the bookings that they have sent ran.
 func TestStopAnswersTheBacklog(t *testing.T) {
 	eachKind(t, func(t *testing.T, calls *drain.Calls, s stoppable) {
 		ln := &gated{TCPListener: listen(t), open: make(chan struct{})}
@@ -132,7 +132,7 @@
 		servers := drain.Servers{Calls: calls, List: []drain.Stopper{s}}
 		go func() { stopped <- servers.Shutdown(context.Background()) }()
 		for i, c := range waiting {
-			if err := booked(c); err != nil {
+			if err := readResponse(c); err != nil {
 				t.Errorf("connection %d: %v", i, err)
 			}
 		}
@@ -142,45 +142,45 @@
 	})
 }
 
-// noting is a listener that notes whom it has accepted, and whether it is closed.
-type noting struct {
+// recording is a listener that records the addresses it accepted, and whether it is closed.
+type recording struct {
 	*net.TCPListener
 	from   sync.Map
 	closed atomic.Bool
 }
 
-func (n *noting) Close() error {
-	n.closed.Store(true)
-	return n.TCPListener.Close()
+func (r *recording) Close() error {
+	r.closed.Store(true)
+	return r.TCPListener.Close()
 }
 
-func (n *noting) Accept() (net.Conn, error) {
-	c, err := n.TCPListener.Accept()
+func (r *recording) Accept() (net.Conn, error) {
+	c, err := r.TCPListener.Accept()
 	if err == nil {
-		n.from.Store(c.RemoteAddr().String(), true)
+		r.from.Store(c.RemoteAddr().String(), true)
 	}
 	return c, err
 }
 
-// Guards clients that never learn of the stop and connect anew for each booking: they kept a
-// stopping node from growing quiet, and those who came as it closed at last were cut.
-func TestStopCutsNoClientThatComesAnew(t *testing.T) {
+// Guards clients that reconnect for each booking and don't notice the stop: they kept a stopping node
+// from a quiet period, and those that connected as it finally closed were reset.
+func TestStopResetsNoReconnectingClient(t *testing.T) {
 	eachKind(t, func(t *testing.T, calls *drain.Calls, s stoppable) {
-		ln := &noting{TCPListener: listen(t)}
+		ln := &recording{TCPListener: listen(t)}
 		serve(t, s, ln)
 		var done atomic.Int64
 		var clients sync.WaitGroup
 		ended := make(chan struct{})
 		for range 4 {
 			clients.Go(func() {
-				for ln.come(t, &done, ended) {
+				for ln.bookOnce(t, &done, ended) {
 					time.Sleep(time.Millisecond)
 				}
 			})
 		}
-		for end := time.Now().Add(patience); done.Load() < 20; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(waitTimeout); done.Load() < 20; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("the server answers nobody")
+				t.Fatal("the server answers no calls")
 			}
 		}
 		servers := drain.Servers{Calls: calls, List: []drain.Stopper{s}}
@@ -192,26 +192,26 @@
 	})
 }
 
-// come books once on a new connection, and reports whether the server may take another.
-func (n *noting) come(t *testing.T, done *atomic.Int64, ended chan struct{}) bool {
+// bookOnce books once on a new connection, and reports whether the server may accept another.
+func (r *recording) bookOnce(t *testing.T, done *atomic.Int64, ended chan struct{}) bool {
 	select {
 	case <-ended:
 		return false
 	default:
 	}
-	c, err := net.Dial("tcp", n.Addr().String())
+	c, err := net.Dial("tcp", r.Addr().String())
 	if err != nil {
 		return false // the socket is closed, so nothing was sent
 	}
 	defer c.Close()
-	err = book(c)
-	inTime := !n.closed.Load() // one sent later than that may come too late for the quiet wait
+	err = sendBooking(c)
+	inTime := !r.closed.Load() // a booking sent later may miss the quiet period
 	if err == nil {
-		err = booked(c)
+		err = readResponse(c)
 	}
 	from := c.LocalAddr().String()
-	if _, accepted := n.from.LoadAndDelete(from); accepted && inTime && err != nil {
-		t.Errorf("a booking on a connection that was accepted: %v", err)
+	if _, accepted := r.from.LoadAndDelete(from); accepted && inTime && err != nil {
+		t.Errorf("a booking on an accepted connection: %v", err)
 	}
 	done.Add(1)
 	return err == nil
--- a/internal/drain/wait_end_test.go
+++ b/internal/drain/wait_end_test.go
@@ -10,40 +10,40 @@
 	"time"
 )
 
-// Guards the calls that come while a long one ends: the quiet before the long one's end counted, and
-// the connections closed within the moment it ended, though others had just sent calls.
-func TestWaitIsQuietAtItsEnd(t *testing.T) {
+// Guards against a quiet period that is counted before a long call ends: the connections then closed
+// right at its end, although other clients had just sent calls.
+func TestWaitEndsAfterQuietPeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Calls
-		c.noneNew.Store(true)
+		c.acceptStopped.Store(true)
 		var lastCall atomic.Int64
 		go func() {
-			time.Sleep(quietFor / 2)
-			c.serve(func(http.ResponseWriter, *http.Request) { time.Sleep(20 * quietFor) })
+			time.Sleep(quietPeriod / 2)
+			c.serve(func(http.ResponseWriter, *http.Request) { time.Sleep(20 * quietPeriod) })
 		}()
-		go func() { // begins once the first quiet while is over
-			time.Sleep(5 * quietFor)
+		go func() { // starts once the first quiet period is over
+			time.Sleep(5 * quietPeriod)
 			for range 200 {
 				c.serve(func(http.ResponseWriter, *http.Request) { lastCall.Store(time.Now().UnixNano()) })
-				time.Sleep(quietFor / 4)
+				time.Sleep(quietPeriod / 4)
 			}
 		}()
 		if err := c.Wait(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if quiet := time.Since(time.Unix(0, lastCall.Load())); quiet < quietFor {
-			t.Errorf("the last call came %v before, want %v at least", quiet, quietFor)
+		if quiet := time.Since(time.Unix(0, lastCall.Load())); quiet < quietPeriod {
+			t.Errorf("the last call arrived %v before, want %v at least", quiet, quietPeriod)
 		}
-		time.Sleep(100 * quietFor) // until the clients have ended
+		time.Sleep(100 * quietPeriod) // until the clients have ended
 	})
 }
 
-// Guards the connections that a stop has to close before its limit: clients that send all the while
-// on kept connections used up the whole limit, and the connections were then closed unseen.
+// Guards against clients whose steady calls on open connections use up the whole limit of a stop: the
+// connections then closed without a check for calls.
 func TestWaitLeavesTimeToClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Calls
-		c.noneNew.Store(true)
+		c.acceptStopped.Store(true)
 		const limit = 5 * time.Second
 		ctx, cancel := context.WithTimeout(t.Context(), limit)
 		defer cancel()
@@ -51,15 +51,15 @@
 		client.Go(func() {
 			for ctx.Err() == nil {
 				c.serve(func(http.ResponseWriter, *http.Request) {})
-				time.Sleep(quietFor / 2)
+				time.Sleep(quietPeriod / 2)
 			}
 		})
-		begun := time.Now()
+		start := time.Now()
 		if err := c.Wait(ctx); err != nil {
 			t.Fatal(err)
 		}
-		if left := limit - time.Since(begun); left < closeWithin-quietFor {
-			t.Errorf("%v are left for closing, want %v", left, closeWithin-quietFor)
+		if left := limit - time.Since(start); left < closeReserve-quietPeriod {
+			t.Errorf("%v are left for closing, want %v", left, closeReserve-quietPeriod)
 		}
 		client.Wait()
 	})
--- a/internal/drain/waiting_other.go
+++ b/internal/drain/waiting_other.go
@@ -2,5 +2,5 @@
 
 package drain
 
-// somebodyWaits reports nothing where the system can't be asked.
-func (l *Listener) somebodyWaits() bool { return false }
+// hasPending reports false where the system has no way to check.
+func (l *Listener) hasPending() bool { return false }
--- a/internal/drain/waiting_unix.go
+++ b/internal/drain/waiting_unix.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// somebodyWaits reports whether a connection waits to be accepted. Accept doesn't look once its
-// deadline has passed, as in a process that got no processor for as long.
-func (l *Listener) somebodyWaits() bool {
+// hasPending reports whether the accept queue holds a connection. Accept doesn't check the queue
+// once its deadline has passed, as in a process that got no processor for that long.
+func (l *Listener) hasPending() bool {
 	socket, ok := l.Listener.(syscall.Conn)
 	if !ok {
 		return false
