--- a/internal/peer/bounds_test.go
+++ b/internal/peer/bounds_test.go
@@ -14,29 +14,27 @@
 	"github.com/marlpass/marlpass/internal/peer"
 )
 
-// A version grows over the bound on answers. Each node that asked for it kept its peer busy
-// with encoding the whole of it, and dropped it by its announced length. On a busy machine
-// the question ran out of its time first, here 300 ms, and said so instead of "too large" (4
-// of 234 runs beside four busy processes and three others of the test). In a trial that timed
-// the steps, encoding the 16 MB once took 120 to 370 ms, and all that came before it 1 to 23.
+// Guards against a response over the bound that the server encodes although the client rejects it by
+// its Content-Length. Encoding 16 MB took 120 to 370 ms on a busy machine, so the exchange timed out
+// after its 300 ms instead of failing with "too large", in 4 of 234 runs.
 func TestMessagesAreBounded(t *testing.T) {
 	s := serve(t, "b", nil, peer.NewMetrics(metrics.NewSet()))
 	c, _ := client(t, mesh, "a", nil)
 	ctx := context.Background()
 	big := make([]byte, limits().MaxRequestBytes)
 	if _, err := c.Submit(ctx, s.addr, big); err == nil {
-		t.Fatal("a request over the bound was taken")
+		t.Fatal("a request over the bound was accepted")
 	}
-	s.h.answer = &peerpb.PullResponse{Changes: &peerpb.Packed{Data: make([]byte, limits().MaxResponseBytes)}}
+	s.handler.response = &peerpb.PullResponse{Changes: &peerpb.Packed{Data: make([]byte, limits().MaxResponseBytes)}}
 	_, err := c.Pull(ctx, "b", s.addr, &peerpb.PullRequest{})
 	if err == nil || !strings.Contains(err.Error(), "too large") {
-		t.Fatalf("an answer over the bound: %v", err)
+		t.Fatalf("a response over the bound: %v", err)
 	}
 }
 
-// A peer that runs another version of the program, or lies, sends more than the bound,
-// announced or not. The asking node must not hold it in memory.
-func TestLargeAnswerIsNotRead(t *testing.T) {
+// Guards against a client that holds a response over the bound in memory, with or without a
+// Content-Length. A peer of another version, or a malicious one, may send it.
+func TestLargeResponseIsNotRead(t *testing.T) {
 	for name, length := range map[string]string{"announced": "2000000", "in chunks": ""} {
 		t.Run(name, func(t *testing.T) {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -51,15 +49,15 @@
 			c := clientWith(t, mesh, "a", nil, l, peer.NewMetrics(metrics.NewSet()))
 			_, err := c.Pull(context.Background(), "b", s.Listener.Addr().String(), &peerpb.PullRequest{})
 			if err == nil || !strings.Contains(err.Error(), "too large") {
-				t.Errorf("an answer over the bound: %v", err)
+				t.Errorf("a response over the bound: %v", err)
 			}
 		})
 	}
 }
 
-// The largest command that a node takes must fit through a peer, with what is
-// added on the way. Otherwise it ends as unknown when the platform can't be
-// reached from here, though nobody carried it out.
+// Guards against a command of the largest size that no longer fits into a
+// request once it is marked as a repeat. When a node that doesn't reach the
+// platform forwards it, its outcome would be unknown although it never ran.
 func TestLargestCommandFits(t *testing.T) {
 	s := serve(t, "b", nil, peer.NewMetrics(metrics.NewSet()))
 	c, _ := client(t, mesh, "a", nil)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -20,37 +20,39 @@
 	"github.com/marlpass/marlpass/internal/trust"
 )
 
-// Errors of this package. Client wraps what went wrong below.
+// Errors of Client, which wrap their cause.
 var (
-	// ErrUnreachable means that no whole answer came within the bound.
-	ErrUnreachable = errors.New("peer: no answer")
-	// ErrRefused means that the peer answered with an error.
+	// ErrUnreachable means that no complete response arrived in time.
+	ErrUnreachable = errors.New("peer: no response")
+	// ErrRefused means that the peer returned an error.
 	ErrRefused = errors.New("peer: refused")
-	// ErrIdentityMismatch means that an answer names another VM or mesh than its
-	// connection does.
-	ErrIdentityMismatch = errors.New("peer: the answer does not come from whom it says")
+	// ErrIdentityMismatch means that a response names another VM or mesh than
+	// expected, or than the certificate of its connection.
+	ErrIdentityMismatch = errors.New("peer: the response names another mesh or node than expected")
 )
 
-// SenderInfo is what every message says of the node that sends it.
+// SenderInfo is the state of the sending node that every envelope carries.
 type SenderInfo struct {
 	Incarnation uint64
 	Version     config.Version
-	Behind      uint64
-	// Confirmed tells when the source of versions was last heard, or nil.
+	Behind      uint64 // versions that the one in force lies behind Version
+	// Confirmed is the last confirmation from the source of versions, or nil.
 	Confirmed *peerpb.Confirmation
 }
 
-// Limits bound the client and the server.
+// Limits holds the bounds of the client and the server.
 type Limits struct {
-	// DialTimeout and ExchangeTimeout bound a new connection, and a whole exchange.
+	// DialTimeout bounds a new connection, and ExchangeTimeout a whole request
+	// with its response.
 	DialTimeout, ExchangeTimeout time.Duration
-	// MaxIdleConns is how many kept connections a client holds, and IdleTimeout for
-	// how long. Random probing comes back to the same peer after as many
-	// seconds as its data centre has nodes, and a new TLS connection costs
-	// about as much as ten messages, so both are large.
+	// MaxIdleConns and IdleTimeout bound the idle connections of a client.
+	// Random probing returns to the same peer after as many seconds as its
+	// data centre has nodes, and a new TLS connection costs about as much as
+	// ten messages, so both are large.
 	MaxIdleConns int
 	IdleTimeout  time.Duration
-	// MaxRequestBytes bounds a message, and MaxResponseBytes an answer to a pull.
+	// MaxRequestBytes bounds a request, and MaxResponseBytes a response; the
+	// largest responses are those to pulls.
 	MaxRequestBytes, MaxResponseBytes int64
 }
 
@@ -63,20 +65,20 @@
 	}
 }
 
-// maxClients bounds the twirp clients kept, one for each address.
+// maxClients bounds the cache of twirp clients, which has one per address.
 const maxClients = 2048
 
-// ClientConfig is what a Client works with.
+// ClientConfig holds the settings and dependencies of a Client.
 type ClientConfig struct {
 	Mesh, VM string
 	TLS      *tls.Config // nil for plain TCP
 	Limits   Limits
 	Metrics  *Metrics
-	// Dial opens connections, by TCP if nil.
+	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Sender is asked for each message.
+	// Sender is called for each envelope.
 	Sender func() SenderInfo
-	// OnEnvelope is told of what each answer says of its sender.
+	// OnEnvelope is called with the envelope of each response.
 	OnEnvelope func(*peerpb.Envelope)
 }
 
@@ -99,16 +101,16 @@
 	if cfg.TLS != nil {
 		c.scheme = "https://"
 	}
-	c.http = &http.Client{Transport: &checked{next: c.transport(), limits: cfg.Limits}}
+	c.http = &http.Client{Transport: &verifyingTransport{next: c.transport(), limits: cfg.Limits}}
 	return c, nil
 }
 
 // transport keeps one idle connection to each peer.
 //
-// A connection that something between the two ends has lost track of goes
-// silent for good while new ones work. It shows as an exchange that misses its
-// bound. HTTP/1.1 closes the connection of a cancelled exchange, and as no
-// other idle one is kept to that peer, the next exchange dials a fresh one.
+// When a middlebox loses the state of a connection, the connection stays silent
+// while new ones work. An exchange over it times out. HTTP/1.1 closes the
+// connection of a cancelled exchange, and as no other idle one is kept to that
+// peer, the next exchange dials a new one.
 func (c *Client) transport() *http.Transport {
 	dial := c.cfg.Dial
 	if dial == nil {
@@ -141,9 +143,9 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// slim removes the headers that twirp and net/http would add and that nobody
-// reads: on messages of a few hundred bytes they are a third of the cost.
-var slim = &twirp.ClientHooks{
+// minimalHeaders removes unused headers that twirp and net/http add: on
+// messages of a few hundred bytes they are a third of the cost.
+var minimalHeaders = &twirp.ClientHooks{
 	RequestPrepared: func(ctx context.Context, r *http.Request) (context.Context, error) {
 		r.Header.Del("Accept")
 		r.Header.Del("Twirp-Version")
@@ -152,6 +154,7 @@
 	},
 }
 
+// to returns the twirp client for an address.
 func (c *Client) to(addr string) peerpb.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,23 +162,23 @@
 		return p
 	}
 	p := peerpb.NewPeerProtobufClient(c.scheme+addr, c.http,
-		twirp.WithClientPathPrefix(""), twirp.WithClientHooks(slim))
+		twirp.WithClientPathPrefix(""), twirp.WithClientHooks(minimalHeaders))
 	c.clients.Add(addr, p)
 	return p
 }
 
-// Exchange carries a membership message and its answer.
+// Exchange sends a membership message and returns the response.
 func (c *Client) Exchange(ctx context.Context, addr string, m *peerpb.Membership) (*peerpb.Membership, error) {
 	e := c.envelope()
 	e.Membership = m
-	answer, err := c.exchange(ctx, kindExchange, addr, e)
+	response, err := c.exchange(ctx, kindExchange, addr, e)
 	if err != nil {
 		return nil, err
 	}
-	return answer.Membership, nil
+	return response.Membership, nil
 }
 
-// Tell tells this node's version, with the changes that led to it if given.
+// Tell sends this node's version, with the changes that led to it if given.
 func (c *Client) Tell(ctx context.Context, addr string, changes *peerpb.Packed) error {
 	e := c.envelope()
 	e.Changes = changes
@@ -183,9 +186,11 @@
 	return err
 }
 
-func (c *Client) envelope() *peerpb.Envelope { return seal(c.cfg.Mesh, c.cfg.VM, c.cfg.Sender()) }
+func (c *Client) envelope() *peerpb.Envelope {
+	return newEnvelope(c.cfg.Mesh, c.cfg.VM, c.cfg.Sender())
+}
 
-func seal(mesh, vm string, s SenderInfo) *peerpb.Envelope {
+func newEnvelope(mesh, vm string, s SenderInfo) *peerpb.Envelope {
 	e := &peerpb.Envelope{
 		Mesh: mesh, From: vm, Incarnation: s.Incarnation,
 		Version: s.Version.Number, Behind: s.Behind, Confirmed: s.Confirmed,
@@ -197,116 +202,118 @@
 }
 
 func (c *Client) exchange(ctx context.Context, k kind, addr string, e *peerpb.Envelope) (*peerpb.Envelope, error) {
-	answer, peer, err := send(ctx, c, k, e, c.to(addr).Exchange)
+	response, peer, err := send(ctx, c, k, e, c.to(addr).Exchange)
 	if err != nil {
 		return nil, err
 	}
-	if answer.Mesh != c.cfg.Mesh || (peer != "" && answer.From != peer) {
-		c.cfg.Metrics.dropped.Inc()
+	if response.Mesh != c.cfg.Mesh || (peer != "" && response.From != peer) {
+		c.cfg.Metrics.identityMismatches.Inc()
 		return nil, ErrIdentityMismatch
 	}
-	c.cfg.OnEnvelope(answer)
-	return answer, nil
+	c.cfg.OnEnvelope(response)
+	return response, nil
 }
 
-// Pull asks the VM to for what follows the version in req. An address is used
-// again by the VM that replaces another; one VM must not answer for two.
+// Pull requests the changes after the version in req from the VM named to. It
+// fails with ErrIdentityMismatch if another VM answers: a VM that replaces
+// another one may have its address.
 func (c *Client) Pull(ctx context.Context, to, addr string, req *peerpb.PullRequest) (*peerpb.PullResponse, error) {
 	req.Mesh, req.From = c.cfg.Mesh, c.cfg.VM
-	answer, peer, err := send(ctx, c, kindPull, req, c.to(addr).Pull)
+	response, peer, err := send(ctx, c, kindPull, req, c.to(addr).Pull)
 	if err != nil {
 		return nil, err
 	}
-	if err := c.comesFrom(to, answer.From, peer); err != nil {
+	if err := c.verifySender(to, response.From, peer); err != nil {
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
-// Submit has a peer carry out an operator's command.
+// Submit has a peer execute an operator's command, and returns the result.
 func (c *Client) Submit(ctx context.Context, addr string, command []byte) ([]byte, error) {
 	req := &peerpb.SubmitRequest{Mesh: c.cfg.Mesh, From: c.cfg.VM, Command: command}
-	answer, _, err := send(ctx, c, kindSubmit, req, c.to(addr).Submit)
-	return answer.GetResult(), err
+	response, _, err := send(ctx, c, kindSubmit, req, c.to(addr).Submit)
+	return response.GetResult(), err
 }
 
-// Alert tells a peer of notices at once.
+// Alert sends notices to a peer without waiting for the next membership message.
 func (c *Client) Alert(ctx context.Context, addr string, notices []*peerpb.Notice) error {
 	req := &peerpb.AlertRequest{Mesh: c.cfg.Mesh, From: c.cfg.VM, Notices: notices}
 	_, _, err := send(ctx, c, kindAlert, req, c.to(addr).Alert)
 	return err
 }
 
-// Report asks the VM to what it counted of its calls.
+// Report fetches the call counts of the VM named to.
 func (c *Client) Report(ctx context.Context, to, addr string) (*peerpb.Packed, error) {
 	req := &peerpb.ReportRequest{Mesh: c.cfg.Mesh, From: c.cfg.VM}
-	answer, peer, err := send(ctx, c, kindReport, req, c.to(addr).Report)
+	response, peer, err := send(ctx, c, kindReport, req, c.to(addr).Report)
 	if err != nil {
 		return nil, err
 	}
-	if err := c.comesFrom(to, answer.From, peer); err != nil {
+	if err := c.verifySender(to, response.From, peer); err != nil {
 		return nil, err
 	}
-	return answer.Report, nil
+	return response.Report, nil
 }
 
-// Rollout tells the VM to what its backend servers may take, and returns what they did.
+// Rollout sends the VM named to which calls its backend servers may take, and returns what they
+// have taken.
 func (c *Client) Rollout(ctx context.Context, to, addr string, req *peerpb.RolloutRequest) ([]*peerpb.RolloutServer, error) {
 	req.Mesh, req.From = c.cfg.Mesh, c.cfg.VM
-	answer, peer, err := send(ctx, c, kindRollout, req, c.to(addr).Rollout)
+	response, peer, err := send(ctx, c, kindRollout, req, c.to(addr).Rollout)
 	if err != nil {
 		return nil, err
 	}
-	if err := c.comesFrom(to, answer.From, peer); err != nil {
+	if err := c.verifySender(to, response.From, peer); err != nil {
 		return nil, err
 	}
-	return answer.Servers, nil
+	return response.Servers, nil
 }
 
-// Usage tells the VM to what is taken of the workspaces' quotas, and returns which parts of the
-// calls may pass.
+// Usage reports the usage of the workspaces' quotas to the VM named to, and returns the admission
+// ratios.
 func (c *Client) Usage(ctx context.Context, to, addr string, req *peerpb.UsageRequest) ([]*peerpb.WorkspacePart, error) {
 	req.Mesh, req.From = c.cfg.Mesh, c.cfg.VM
-	answer, peer, err := send(ctx, c, kindUsage, req, c.to(addr).Usage)
+	response, peer, err := send(ctx, c, kindUsage, req, c.to(addr).Usage)
 	if err != nil {
 		return nil, err
 	}
-	if err := c.comesFrom(to, answer.From, peer); err != nil {
+	if err := c.verifySender(to, response.From, peer); err != nil {
 		return nil, err
 	}
-	return answer.Parts, nil
+	return response.Parts, nil
 }
 
-// comesFrom checks that an answer comes from the VM that was asked. Certified is the VM that the
-// connection's certificate names, or "".
-func (c *Client) comesFrom(asked, from, certified string) error {
-	if from == asked && (certified == "" || certified == asked) {
+// verifySender checks that a response comes from the VM that the request was for. Certified is the
+// VM that the connection's certificate names, or "" without TLS.
+func (c *Client) verifySender(requested, from, certified string) error {
+	if from == requested && (certified == "" || certified == requested) {
 		return nil
 	}
-	c.cfg.Metrics.dropped.Inc()
+	c.cfg.Metrics.identityMismatches.Inc()
 	return ErrIdentityMismatch
 }
 
-// send makes one exchange, bounds it and counts it. It returns the VM that the
-// connection's certificate names, or "" without TLS.
+// send makes one exchange with a timeout and counts it. It returns the VM that
+// the connection's certificate names, or "" without TLS.
 func send[Q, A proto.Message](ctx context.Context, c *Client, k kind, q Q, call func(context.Context, Q) (A, error)) (A, string, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Limits.ExchangeTimeout)
 	defer cancel()
 	var vm string
-	a, err := call(context.WithValue(ctx, peerKey{}, &vm), q)
+	a, err := call(context.WithValue(ctx, certifiedVMKey{}, &vm), q)
 	m := c.cfg.Metrics.kinds[k]
 	m.sent.Inc()
 	m.bytesOut.Add(proto.Size(q))
 	if err != nil {
 		m.errors.Inc()
-		return a, vm, fromTwirp(err)
+		return a, vm, wrapTwirpError(err)
 	}
 	m.bytesIn.Add(proto.Size(a))
 	return a, vm, nil
 }
 
-// fromTwirp turns an error of the library into one of this package.
-func fromTwirp(err error) error {
+// wrapTwirpError wraps an error of twirp in one of this package.
+func wrapTwirpError(err error) error {
 	var te twirp.Error
 	if errors.As(err, &te) && te.Code() != twirp.Internal {
 		return fmt.Errorf("%w: %w", ErrRefused, err)
@@ -314,24 +321,26 @@
 	return fmt.Errorf("%w: %w", ErrUnreachable, err)
 }
 
-// peerKey is the context key under which checked leaves the peer's VM.
-type peerKey struct{}
+// certifiedVMKey is the context key of the pointer that verifyingTransport sets
+// to the peer's VM.
+type certifiedVMKey struct{}
 
-// errTooLarge means that an answer was over its bound.
-var errTooLarge = errors.New("peer: the answer is too large")
+// errTooLarge means that a response was over MaxResponseBytes.
+var errTooLarge = errors.New("peer: the response is too large")
 
-// checked bounds the answers of the transport below it and tells who answers.
-type checked struct {
+// verifyingTransport bounds the responses of the transport below it and
+// reports the VM that their certificates name.
+type verifyingTransport struct {
 	next   http.RoundTripper
 	limits Limits
 }
 
-func (c *checked) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c *verifyingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := c.next.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	if vm, ok := r.Context().Value(peerKey{}).(*string); ok && resp.TLS != nil {
+	if vm, ok := r.Context().Value(certifiedVMKey{}).(*string); ok && resp.TLS != nil {
 		id, err := trust.PeerOf(resp.TLS)
 		if err != nil {
 			_ = resp.Body.Close()
@@ -347,14 +356,14 @@
 	return resp, nil
 }
 
-func (c *checked) CloseIdleConnections() {
+func (c *verifyingTransport) CloseIdleConnections() {
 	if t, ok := c.next.(*http.Transport); ok {
 		t.CloseIdleConnections()
 	}
 }
 
-// boundedBody fails a read that goes over the bound, rather than ending it as
-// if the answer were whole.
+// boundedBody fails a read beyond the bound instead of reporting the end of
+// the body.
 type boundedBody struct {
 	io.ReadCloser
 	left int64
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,7 +1,7 @@
-// Package peer is the edge between nodes: a twirp server and client over kept
-// HTTP connections, with or without mutual TLS.
+// Package peer carries messages between nodes: a twirp server and client over
+// keep-alive HTTP connections, with or without mutual TLS.
 //
-// It checks who is speaking, bounds the size and the time of every message,
-// counts the bytes that really cross the connections, and hands messages to
-// the interfaces that the node wires in. It decides nothing else.
+// It authenticates senders, bounds the size and the time of every message,
+// counts the bytes on the connections, and passes messages to the interfaces
+// that the node supplies.
 package peer
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -9,20 +9,19 @@
 	"github.com/marlpass/marlpass/internal/trust"
 )
 
-// Metrics counts what the control traffic of one node costs. Bytes of
-// connections are real ones, with HTTP and TLS; bytes by kind are those of the
-// messages alone.
+// Metrics counts the control traffic of one node. Bytes of connections include
+// HTTP and TLS; bytes by kind are those of the encoded messages alone.
 type Metrics struct {
-	connIn   *metrics.Counter
-	connOut  *metrics.Counter
-	opened   *metrics.Counter
-	accepted *metrics.Counter
-	kinds    map[kind]*kindMetrics
-	refused  map[trust.Reason]*metrics.Counter
-	dropped  *metrics.Counter
+	connIn             *metrics.Counter
+	connOut            *metrics.Counter
+	opened             *metrics.Counter
+	accepted           *metrics.Counter
+	kinds              map[kind]*kindMetrics
+	refused            map[trust.Reason]*metrics.Counter
+	identityMismatches *metrics.Counter
 }
 
-// kind is a kind of message, as metrics name it.
+// kind is a kind of message, and the value of its metric label.
 type kind string
 
 const (
@@ -43,13 +42,13 @@
 // NewMetrics registers the counters in set.
 func NewMetrics(set *metrics.Set) *Metrics {
 	m := &Metrics{
-		connIn:   set.NewCounter(`marlpass_peer_connection_bytes_total{direction="in"}`),
-		connOut:  set.NewCounter(`marlpass_peer_connection_bytes_total{direction="out"}`),
-		opened:   set.NewCounter(`marlpass_peer_connections_total{side="client"}`),
-		accepted: set.NewCounter(`marlpass_peer_connections_total{side="server"}`),
-		dropped:  set.NewCounter(`marlpass_peer_impostors_total`),
-		kinds:    make(map[kind]*kindMetrics),
-		refused:  make(map[trust.Reason]*metrics.Counter),
+		connIn:             set.NewCounter(`marlpass_peer_connection_bytes_total{direction="in"}`),
+		connOut:            set.NewCounter(`marlpass_peer_connection_bytes_total{direction="out"}`),
+		opened:             set.NewCounter(`marlpass_peer_connections_total{side="client"}`),
+		accepted:           set.NewCounter(`marlpass_peer_connections_total{side="server"}`),
+		identityMismatches: set.NewCounter(`marlpass_peer_impostors_total`),
+		kinds:              make(map[kind]*kindMetrics),
+		refused:            make(map[trust.Reason]*metrics.Counter),
 	}
 	for _, k := range []kind{kindExchange, kindTell, kindPull, kindSubmit, kindAlert, kindReport, kindRollout, kindUsage} {
 		l := `{kind="` + string(k) + `"}`
@@ -67,14 +66,14 @@
 	return m
 }
 
-// Refused counts a peer that was not let in. Give it to trust.Options.
+// Refused counts a rejected peer. It fits trust.Options.OnRefused.
 func (m *Metrics) Refused(e *trust.RefusedError) {
 	if c := m.refused[e.Reason]; c != nil {
 		c.Inc()
 	}
 }
 
-// RefusedCount returns how many peers were refused for a reason.
+// RefusedCount returns how many peers were rejected for a reason.
 func (m *Metrics) RefusedCount(r trust.Reason) uint64 { return m.refused[r].Get() }
 
 // ConnectionBytes returns the bytes read from and written to all connections.
@@ -83,7 +82,7 @@
 // Connections returns how many connections were opened and accepted.
 func (m *Metrics) Connections() (opened, accepted uint64) { return m.opened.Get(), m.accepted.Get() }
 
-// Messages returns how many messages were sent, and answered for others.
+// Messages returns how many requests were sent, and received from others.
 func (m *Metrics) Messages() (sent, received uint64) {
 	for _, k := range m.kinds {
 		sent += k.sent.Get()
@@ -92,7 +91,7 @@
 	return sent, received
 }
 
-// Errors returns how many messages failed.
+// Errors returns how many requests failed.
 func (m *Metrics) Errors() uint64 {
 	var n uint64
 	for _, k := range m.kinds {
@@ -132,7 +131,7 @@
 	}
 	l.m.accepted.Inc()
 	if t, ok := c.(*net.TCPConn); ok {
-		// The peer may vanish without a word; keep-alive packets find out.
+		// Keep-alive packets detect a peer that vanished without closing.
 		_ = t.SetKeepAlivePeriod(keepAlive)
 	}
 	return &countedConn{c, l.m}, nil
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,11 +21,11 @@
 
 const mesh = "trust"
 
-// handlers is a node behind the edge that answers everything.
+// handlers implements all interfaces of a server, and records the envelopes.
 type handlers struct {
-	mu     sync.Mutex
-	heard  []*peerpb.Envelope
-	answer *peerpb.PullResponse
+	mu        sync.Mutex
+	envelopes []*peerpb.Envelope
+	response  *peerpb.PullResponse
 }
 
 func (h *handlers) Request(string, *peerpb.Membership) *peerpb.Membership {
@@ -35,11 +35,11 @@
 func (h *handlers) Heard(e *peerpb.Envelope) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.heard = append(h.heard, e)
+	h.envelopes = append(h.envelopes, e)
 }
 
 func (h *handlers) ServePull(*peerpb.PullRequest) (*peerpb.PullResponse, error) {
-	return h.answer, nil
+	return h.response, nil
 }
 
 func (h *handlers) Submit(_ context.Context, _ string, c []byte) ([]byte, error) {
@@ -60,19 +60,19 @@
 	return l
 }
 
-type edge struct {
+type testServer struct {
 	addr    string
 	metrics *peer.Metrics
-	h       *handlers
+	handler *handlers
 }
 
-func serve(t testing.TB, vm string, conf *tls.Config, m *peer.Metrics) *edge {
+func serve(t testing.TB, vm string, conf *tls.Config, m *peer.Metrics) *testServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &handlers{answer: &peerpb.PullResponse{}}
+	h := &handlers{response: &peerpb.PullResponse{}}
 	s := peer.NewServer(peer.ServerConfig{
 		Mesh: mesh, VM: vm, TLS: conf, Limits: limits(), Metrics: m, Log: zerolog.Nop(),
 		Sender: sender, Membership: h, Distributor: h, Submitter: h, Alerts: h, Reporter: h,
@@ -87,7 +87,7 @@
 			t.Error(err)
 		}
 	})
-	return &edge{l.Addr().String(), m, h}
+	return &testServer{l.Addr().String(), m, h}
 }
 
 func client(t testing.TB, meshName, vm string, conf *tls.Config) (*peer.Client, *peer.Metrics) {
@@ -109,7 +109,7 @@
 	return c
 }
 
-func keep(t testing.TB, ca *trusttest.CA, id trust.Identity, m *peer.Metrics) *trust.Keeper {
+func newKeeper(t testing.TB, ca *trusttest.CA, id trust.Identity, m *peer.Metrics) *trust.Keeper {
 	t.Helper()
 	k, err := trust.New(trust.Options{
 		Files: ca.Write(t.TempDir(), trusttest.Leaf{ID: id}), Self: &id, Log: zerolog.Nop(), OnRefused: m.Refused,
@@ -120,16 +120,17 @@
 	return k
 }
 
-func serveTLS(t testing.TB, ca *trusttest.CA, vm string) *edge {
+func serveTLS(t testing.TB, ca *trusttest.CA, vm string) *testServer {
 	m := peer.NewMetrics(metrics.NewSet())
-	return serve(t, vm, keep(t, ca, trust.Identity{Mesh: mesh, VM: vm}, m).Server(), m)
+	return serve(t, vm, newKeeper(t, ca, trust.Identity{Mesh: mesh, VM: vm}, m).Server(), m)
 }
 
 func clientTLS(t testing.TB, ca *trusttest.CA, vm string) (*peer.Client, *peer.Metrics) {
 	m := peer.NewMetrics(metrics.NewSet())
-	return client(t, mesh, vm, keep(t, ca, trust.Identity{Mesh: mesh, VM: vm}, m).Client())
+	return client(t, mesh, vm, newKeeper(t, ca, trust.Identity{Mesh: mesh, VM: vm}, m).Client())
 }
 
+// Guards every kind of message over mutual TLS, and the check of the sender.
 func TestMessagesBothWays(t *testing.T) {
 	ca := trusttest.NewCA(t)
 	s := serveTLS(t, ca, "b")
@@ -159,17 +160,17 @@
 	if _, err := c.Report(ctx, "z", s.addr); !errors.Is(err, peer.ErrIdentityMismatch) {
 		t.Fatalf("a report of another VM: %v", err)
 	}
-	if len(s.h.heard) != 2 || s.h.heard[0].From != "a" || s.h.heard[0].Version != 930 {
-		t.Fatalf("heard %v", s.h.heard)
+	if len(s.handler.envelopes) != 2 || s.handler.envelopes[0].From != "a" || s.handler.envelopes[0].Version != 930 {
+		t.Fatalf("envelopes %v", s.handler.envelopes)
 	}
 	if opened, _ := m.Connections(); opened != 1 {
 		t.Fatalf("%d connections for eight messages in a row", opened)
 	}
 }
 
-// What an operator would see: a VM set up for the other mesh, or a stranger on
-// the network, that turns up as a node and takes or gives configuration.
-func TestStrangersAreRefusedAndCounted(t *testing.T) {
+// Guards against a VM of another mesh, or without a valid certificate, that
+// joins as a node and exchanges configuration.
+func TestUntrustedPeersAreRefusedAndCounted(t *testing.T) {
 	ca, ctx := trusttest.NewCA(t), context.Background()
 	s := serveTLS(t, ca, "b")
 	pair := func(l trusttest.Leaf) *tls.Config {
@@ -190,18 +191,19 @@
 	for reason, conf := range tests {
 		c, _ := client(t, mesh, "a", conf)
 		if _, err := c.Exchange(ctx, s.addr, &peerpb.Membership{}); err == nil {
-			t.Errorf("%s: let in", reason)
+			t.Errorf("%s: accepted", reason)
 		}
 		if n := s.metrics.RefusedCount(reason); n == 0 {
 			t.Errorf("%s: not counted", reason)
 		}
 	}
-	if len(s.h.heard) != 0 {
-		t.Fatalf("a stranger was heard: %v", s.h.heard)
+	if len(s.handler.envelopes) != 0 {
+		t.Fatalf("an envelope of an untrusted peer was handled: %v", s.handler.envelopes)
 	}
 }
 
-func TestOtherMeshIsRefusedWithoutTLSToo(t *testing.T) {
+// Guards against a node of another mesh that connects without TLS.
+func TestOtherMeshIsRefusedWithoutTLS(t *testing.T) {
 	s := serve(t, "b", nil, peer.NewMetrics(metrics.NewSet()))
 	c, _ := client(t, "groenteprijs", "a", nil)
 	if _, err := c.Exchange(context.Background(), s.addr, &peerpb.Membership{}); !errors.Is(err, peer.ErrRefused) {
@@ -212,26 +214,25 @@
 	}
 }
 
-// What an operator would see: changes that one VM made in the name of another,
-// after one key was stolen. A certificate speaks for one VM only.
-func TestCertificateSpeaksForOneVM(t *testing.T) {
+// Guards against a stolen key that is used to send in the name of another VM: a
+// certificate is valid for one VM only.
+func TestCertificateIsValidForOneVM(t *testing.T) {
 	ca := trusttest.NewCA(t)
 	s := serveTLS(t, ca, "b")
 	m := peer.NewMetrics(metrics.NewSet())
-	c, _ := client(t, mesh, "victim", keep(t, ca, trust.Identity{Mesh: mesh, VM: "a"}, m).Client())
+	c, _ := client(t, mesh, "victim", newKeeper(t, ca, trust.Identity{Mesh: mesh, VM: "a"}, m).Client())
 	if _, err := c.Exchange(context.Background(), s.addr, &peerpb.Membership{}); !errors.Is(err, peer.ErrRefused) {
 		t.Fatal(err)
 	}
-	if len(s.h.heard) != 0 {
-		t.Fatal("the message was heard")
+	if len(s.handler.envelopes) != 0 {
+		t.Fatal("the message was handled")
 	}
 }
 
-// What an operator would see: a node that falls behind for good though its
-// peers are well, because something between them has lost track of the kept
-// connection. The exchange misses its bound, the connection is given up, and
-// the next exchange works over a fresh one.
-func TestSilentConnectionIsRetired(t *testing.T) {
+// Guards against a node that falls behind permanently because a middlebox lost
+// the state of its idle connection. The exchange must time out, the connection
+// close, and the next exchange succeed over a new one.
+func TestSilentConnectionIsReplaced(t *testing.T) {
 	s := serve(t, "b", nil, peer.NewMetrics(metrics.NewSet()))
 	link := newLink(t, s.addr)
 	c, m := client(t, mesh, "a", nil)
@@ -244,18 +245,18 @@
 		t.Fatalf("over a silent connection: %v", err)
 	}
 	if _, err := c.Exchange(ctx, link.addr, &peerpb.Membership{}); err != nil {
-		t.Fatalf("over a fresh connection: %v", err)
+		t.Fatalf("over a new connection: %v", err)
 	}
 	if opened, _ := m.Connections(); opened != 2 {
 		t.Fatalf("%d connections", opened)
 	}
 }
 
-// link passes bytes on, until silence stops the connections open by then.
+// link forwards bytes, and silence makes the connections open at that time drop them.
 type link struct {
-	addr  string
-	mu    sync.Mutex
-	quiet chan struct{}
+	addr   string
+	mu     sync.Mutex
+	silent chan struct{}
 }
 
 func newLink(t *testing.T, to string) *link {
@@ -263,7 +264,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &link{addr: l.Addr().String(), quiet: make(chan struct{})}
+	k := &link{addr: l.Addr().String(), silent: make(chan struct{})}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -278,10 +279,10 @@
 			}
 			t.Cleanup(func() { a.Close(); b.Close() })
 			k.mu.Lock()
-			quiet := k.quiet
+			silent := k.silent
 			k.mu.Unlock()
-			go pass(b, a, quiet)
-			go pass(a, b, quiet)
+			go forward(b, a, silent)
+			go forward(a, b, silent)
 		}
 	}()
 	return k
@@ -290,11 +291,11 @@
 func (k *link) silence() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	close(k.quiet)
-	k.quiet = make(chan struct{})
+	close(k.silent)
+	k.silent = make(chan struct{})
 }
 
-func pass(dst, src net.Conn, quiet chan struct{}) {
+func forward(dst, src net.Conn, silent chan struct{}) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := src.Read(buf)
@@ -302,7 +303,7 @@
 			return
 		}
 		select {
-		case <-quiet:
+		case <-silent:
 			continue
 		default:
 		}
@@ -312,20 +313,20 @@
 	}
 }
 
-// BenchmarkExchange reports the bytes on the wire of one small exchange over a
-// kept connection, both ways, and of opening the connection.
+// BenchmarkExchange reports the bytes in both directions of one small exchange
+// over an open connection, and those of opening the connection.
 func BenchmarkExchange(b *testing.B) {
 	ca := trusttest.NewCA(b)
-	plain := func() (*edge, *peer.Client, *peer.Metrics) {
+	plain := func() (*testServer, *peer.Client, *peer.Metrics) {
 		s := serve(b, "neg-shed-0001", nil, peer.NewMetrics(metrics.NewSet()))
 		c, m := client(b, mesh, "neg-shed-0002", nil)
 		return s, c, m
 	}
-	mutual := func() (*edge, *peer.Client, *peer.Metrics) {
+	mutual := func() (*testServer, *peer.Client, *peer.Metrics) {
 		c, m := clientTLS(b, ca, "neg-shed-0002")
 		return serveTLS(b, ca, "neg-shed-0001"), c, m
 	}
-	for name, set := range map[string]func() (*edge, *peer.Client, *peer.Metrics){"plain": plain, "mtls": mutual} {
+	for name, set := range map[string]func() (*testServer, *peer.Client, *peer.Metrics){"plain": plain, "mtls": mutual} {
 		b.Run(name, func(b *testing.B) {
 			s, c, m := set()
 			exchange := func() {
--- a/internal/peer/runner_test.go
+++ b/internal/peer/runner_test.go
@@ -25,15 +25,15 @@
 	_ distribute.Client = (*peer.Client)(nil)
 )
 
-// table is a platform in memory.
-type table struct {
+// memoryPlatform is a platform in memory.
+type memoryPlatform struct {
 	mu   sync.Mutex
 	log  []*config.Delta
 	head *config.Snapshot
 	down bool
 }
 
-func (p *table) Head(context.Context) (config.Version, error) {
+func (p *memoryPlatform) Head(context.Context) (config.Version, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.down {
@@ -42,19 +42,19 @@
 	return p.head.Version(), nil
 }
 
-func (p *table) Since(_ context.Context, v config.Version) ([]*config.Delta, error) {
+func (p *memoryPlatform) Since(_ context.Context, v config.Version) ([]*config.Delta, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log[v.Number:], nil
 }
 
-func (p *table) Snapshot(context.Context, config.Version) (*config.Snapshot, error) {
+func (p *memoryPlatform) Snapshot(context.Context, config.Version) (*config.Snapshot, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.head, nil
 }
 
-func (p *table) commit(t *testing.T) *config.Delta {
+func (p *memoryPlatform) commit(t *testing.T) *config.Delta {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	o := config.EncodeService(config.Service{Name: fmt.Sprintf("s%d", len(p.log)), Team: "berths"})
@@ -66,27 +66,27 @@
 	return d
 }
 
-// realNode is a Runner behind a real peer edge.
+// realNode is a distribute.Runner with a peer client and server.
 type realNode struct {
 	runner *distribute.Runner
 	store  *config.Store[int]
 	stop   func()
 }
 
-func startReal(t *testing.T, ca *trusttest.CA, vm string, l net.Listener, views *membership.Views, p *table) *realNode {
+func startReal(t *testing.T, ca *trusttest.CA, vm string, l net.Listener, views *membership.Views, p *memoryPlatform) *realNode {
 	store, err := config.NewStore(func(*config.Snapshot) (int, error) { return 0, nil })
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := peer.NewMetrics(metrics.NewSet())
-	k := keep(t, ca, trust.Identity{Mesh: mesh, VM: vm}, m)
+	k := newKeeper(t, ca, trust.Identity{Mesh: mesh, VM: vm}, m)
 	var r *distribute.Runner
-	stamp := func() peer.SenderInfo {
+	sender := func() peer.SenderInfo {
 		s := r.Stamp()
 		return peer.SenderInfo{Version: s.Version, Behind: s.Behind}
 	}
 	c, err := peer.NewClient(peer.ClientConfig{
-		Mesh: mesh, VM: vm, TLS: k.Client(), Limits: limits(), Metrics: m, Sender: stamp,
+		Mesh: mesh, VM: vm, TLS: k.Client(), Limits: limits(), Metrics: m, Sender: sender,
 		OnEnvelope: func(e *peerpb.Envelope) { r.Heard(e) },
 	})
 	if err != nil {
@@ -97,7 +97,7 @@
 	})
 	s := peer.NewServer(peer.ServerConfig{
 		Mesh: mesh, VM: vm, TLS: k.Server(), Limits: limits(), Metrics: m, Log: zerolog.Nop(),
-		Sender: stamp, Distributor: r, Membership: &handlers{}, Submitter: &handlers{}, Alerts: &handlers{},
+		Sender: sender, Distributor: r, Membership: &handlers{}, Submitter: &handlers{}, Alerts: &handlers{},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -111,8 +111,8 @@
 	}}
 }
 
-// until waits for a condition. The test's own timeout is the only bound.
-func until(ok func() bool) {
+// waitUntil waits for a condition. The test's own timeout is the only bound.
+func waitUntil(ok func() bool) {
 	for !ok() {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -125,12 +125,11 @@
 	return ok
 }
 
-// What a caller would see if this broke: a restarted VM that answers with the
-// targets of last week while the platform is down. Three real nodes take a
-// change; the platform goes down; one node restarts empty and comes back at
-// the same version, from its peers alone.
+// Guards against a restarted VM that serves outdated targets while the platform
+// is down. Three nodes apply changes, the platform goes down, and a node that
+// restarts without state must get the latest version from its peers alone.
 func TestChangeAndRestartOverRealSockets(t *testing.T) {
-	ca, p := trusttest.NewCA(t), &table{head: config.Empty()}
+	ca, p := trusttest.NewCA(t), &memoryPlatform{head: config.Empty()}
 	views := new(membership.Views)
 	view := &membership.View{Records: make(map[string]*membership.Seen)}
 	listeners := make(map[string]net.Listener)
@@ -156,12 +155,12 @@
 		}
 	}()
 	for _, n := range nodes {
-		until(n.ready)
+		waitUntil(n.ready)
 	}
 	for v := uint64(1); v <= 3; v++ {
 		nodes["vm-b"].runner.Accepted(p.commit(t))
 		for _, n := range nodes {
-			until(func() bool { return n.runs(v) })
+			waitUntil(func() bool { return n.runs(v) })
 		}
 	}
 	p.mu.Lock()
@@ -176,9 +175,9 @@
 	}
 	back := startReal(t, ca, "vm-b", l, views, p)
 	nodes["vm-b"] = back
-	until(func() bool {
+	waitUntil(func() bool {
 		if back.ready() && !back.runs(3) {
-			t.Fatal("ready below the version that its peers saw")
+			t.Fatal("ready below the version of its peers")
 		}
 		return back.ready()
 	})
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -20,45 +20,45 @@
 	"github.com/marlpass/marlpass/internal/trust"
 )
 
-// Membership answers membership messages.
+// Membership handles membership messages.
 type Membership interface {
 	Request(from string, m *peerpb.Membership) *peerpb.Membership
 }
 
-// Distributor hears of versions and serves pulls.
+// Distributor receives the versions of other nodes and serves pulls.
 type Distributor interface {
 	Heard(*peerpb.Envelope)
 	ServePull(*peerpb.PullRequest) (*peerpb.PullResponse, error)
 }
 
-// Submitter carries out an operator's command for another node, the one named.
+// Submitter executes an operator's command that the node named from has forwarded.
 type Submitter interface {
 	Submit(ctx context.Context, from string, command []byte) ([]byte, error)
 }
 
-// Alerts takes notices that cannot wait for the next membership message.
+// Alerts receives notices that cannot wait for the next membership message.
 type Alerts interface {
 	Alert(from string, notices []*peerpb.Notice)
 }
 
-// Reporter tells what this node counted of its calls.
+// Reporter returns the call counts of this node.
 type Reporter interface {
 	Report() (*peerpb.Packed, error)
 }
 
-// Rollouts hears what backend servers may take while a service's calls move to another
-// version, and tells what they did.
+// Rollouts sets which calls backend servers may take while a service's calls move to another
+// version, and returns what they have taken.
 type Rollouts interface {
 	Instruct(*peerpb.RolloutRequest) []*peerpb.RolloutServer
 }
 
-// Collector sums up what nodes take of the workspaces' quotas, and answers which parts of
-// the calls may pass.
+// Collector aggregates the nodes' usage of the workspaces' quotas, and returns the admission
+// ratios.
 type Collector interface {
 	Collect(*peerpb.UsageRequest) []*peerpb.WorkspacePart
 }
 
-// ServerConfig is what a Server works with.
+// ServerConfig holds the settings and dependencies of a Server.
 type ServerConfig struct {
 	Mesh, VM    string
 	TLS         *tls.Config // nil for plain TCP
@@ -75,14 +75,14 @@
 	Collector   Collector
 }
 
-// Server answers other nodes.
+// Server serves the requests of other nodes.
 type Server struct {
 	cfg   ServerConfig
 	http  *http.Server
 	conns *telemetry.Conns
 }
 
-// Conns returns how many connections of other nodes are open.
+// Conns returns the number of open connections from other nodes.
 func (s *Server) Conns() int64 { return s.conns.Open() }
 
 // NewServer returns a server; Serve starts it.
@@ -90,12 +90,12 @@
 	s := &Server{cfg: cfg, conns: telemetry.NewConns(cfg.Log, "control")}
 	twirpServer := peerpb.NewPeerServer(&service{cfg}, twirp.WithServerPathPrefix(""))
 	s.http = &http.Server{
-		Handler:           s.guard(twirpServer),
+		Handler:           s.authenticate(twirpServer),
 		ReadHeaderTimeout: cfg.Limits.ExchangeTimeout,
 		ReadTimeout:       cfg.Limits.ExchangeTimeout,
 		WriteTimeout:      2 * cfg.Limits.ExchangeTimeout,
-		// Longer than the client keeps it, so that the client closes first
-		// and never writes into a connection that is being closed.
+		// Longer than the client's, so that the client closes first and never
+		// writes to a connection that is being closed.
 		IdleTimeout:    cfg.Limits.IdleTimeout + time.Minute,
 		MaxHeaderBytes: 4 << 10,
 		ErrorLog:       log.New(debugWriter{cfg.Log}, "", 0),
@@ -104,7 +104,7 @@
 	return s
 }
 
-// Serve accepts connections until Shutdown. It returns nil after one.
+// Serve accepts connections until Shutdown or Close, and then returns nil.
 func (s *Server) Serve(l net.Listener) error {
 	l = &countedListener{l, s.cfg.Metrics}
 	if s.cfg.TLS != nil {
@@ -116,27 +116,27 @@
 	return nil
 }
 
-// Shutdown stops accepting and waits for the answers in flight.
+// Shutdown stops accepting and waits for the requests in flight.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
 
-// Close stops at once, and cuts off the answers in flight.
+// Close stops at once, and aborts the requests in flight.
 func (s *Server) Close() error { return s.http.Close() }
 
-// fromKey is the context key of the VM that the connection's certificate names.
-type fromKey struct{}
+// senderKey is the context key of the VM that the connection's certificate names.
+type senderKey struct{}
 
-// guard bounds the body and notes who speaks.
-func (s *Server) guard(next http.Handler) http.Handler {
+// authenticate bounds the body and adds the VM of the client's certificate to the context.
+func (s *Server) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, s.cfg.Limits.MaxRequestBytes)
-		w.Header()["Date"] = nil // nobody reads it
+		w.Header()["Date"] = nil // unused by the client
 		if s.cfg.TLS != nil {
 			id, err := trust.PeerOf(r.TLS)
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusForbidden)
 				return
 			}
-			r = r.WithContext(context.WithValue(r.Context(), fromKey{}, id.VM))
+			r = r.WithContext(context.WithValue(r.Context(), senderKey{}, id.VM))
 		}
 		next.ServeHTTP(w, r)
 	})
@@ -145,8 +145,8 @@
 // service implements the twirp service.
 type service struct{ cfg ServerConfig }
 
-// admit checks that a message is of this mesh and from whom it says.
-func (s *service) admit(ctx context.Context, k kind, m fromPeer) error {
+// authorize checks that a request is for this mesh and comes from the VM that it names.
+func (s *service) authorize(ctx context.Context, k kind, m request) error {
 	km := s.cfg.Metrics.kinds[k]
 	km.received.Inc()
 	km.bytesIn.Add(proto.Size(m))
@@ -154,27 +154,27 @@
 		s.cfg.Metrics.Refused(&trust.RefusedError{Reason: trust.ReasonOtherMesh})
 		return twirp.PermissionDenied.Error("this is mesh " + s.cfg.Mesh)
 	}
-	if vm, ok := ctx.Value(fromKey{}).(string); ok && vm != m.GetFrom() {
-		s.cfg.Metrics.dropped.Inc()
+	if vm, ok := ctx.Value(senderKey{}).(string); ok && vm != m.GetFrom() {
+		s.cfg.Metrics.identityMismatches.Inc()
 		return twirp.PermissionDenied.Error("the certificate is for VM " + vm)
 	}
 	return nil
 }
 
-// fromPeer is any request.
-type fromPeer interface {
+// request is any request message.
+type request interface {
 	proto.Message
 	GetMesh() string
 	GetFrom() string
 }
 
-// answered counts an answer, and refuses one that the asking node would not take.
+// countResponse counts a response, and refuses one that the client would reject for its size.
 //
-// It guards against a version over the bound. The answer is encoded whole before its first
-// byte leaves, and the asking node drops it by its announced length, and asks again. On a
-// small VM each of these questions would take the memory of two such answers and a good part
-// of a second of its core. The size is known before anything is encoded.
-func (s *service) answered(k kind, m proto.Message) error {
+// It guards against a version over the bound. The response is encoded completely before its first
+// byte is sent, and the client rejects it by its Content-Length and retries. On a small VM each of
+// these requests would take the memory of two such responses and a good part of a second of its
+// core. The size is known before anything is encoded.
+func (s *service) countResponse(k kind, m proto.Message) error {
 	size := proto.Size(m)
 	if int64(size) > s.cfg.Limits.MaxResponseBytes {
 		s.cfg.Metrics.kinds[k].errors.Inc()
@@ -192,7 +192,7 @@
 	if e.Membership == nil {
 		k = kindTell
 	}
-	if err := s.admit(ctx, k, e); err != nil {
+	if err := s.authorize(ctx, k, e); err != nil {
 		return nil, err
 	}
 	s.cfg.Distributor.Heard(e)
@@ -200,9 +200,9 @@
 	if e.Membership != nil {
 		m = s.cfg.Membership.Request(e.From, e.Membership)
 	}
-	out := seal(s.cfg.Mesh, s.cfg.VM, s.cfg.Sender())
+	out := newEnvelope(s.cfg.Mesh, s.cfg.VM, s.cfg.Sender())
 	out.Membership = m
-	if err := s.answered(k, out); err != nil {
+	if err := s.countResponse(k, out); err != nil {
 		return nil, err
 	}
 	return out, nil
@@ -264,25 +264,25 @@
 	})
 }
 
-// serve answers a request that may be admitted, and counts both.
-func serve[Q fromPeer, A proto.Message](ctx context.Context, s *service, k kind, q Q, answer func() (A, error)) (A, error) {
+// serve authorizes a request, handles it, and counts it and its response.
+func serve[Q request, A proto.Message](ctx context.Context, s *service, k kind, q Q, handle func() (A, error)) (A, error) {
 	var none A
-	if err := s.admit(ctx, k, q); err != nil {
+	if err := s.authorize(ctx, k, q); err != nil {
 		return none, err
 	}
-	a, err := answer()
+	a, err := handle()
 	if err != nil {
 		s.cfg.Metrics.kinds[k].errors.Inc()
 		return none, err
 	}
-	if err := s.answered(k, a); err != nil {
+	if err := s.countResponse(k, a); err != nil {
 		return none, err
 	}
 	return a, nil
 }
 
-// debugWriter logs what net/http has to say, such as failed handshakes, which
-// are counted by reason already.
+// debugWriter logs the errors of net/http at debug level. They include failed
+// handshakes, which the metrics count by reason.
 type debugWriter struct{ log zerolog.Logger }
 
 func (w debugWriter) Write(p []byte) (int, error) {
