--- a/internal/quota/collector.go
+++ b/internal/quota/collector.go
@@ -8,230 +8,237 @@
 	"time"
 )
 
-// Limit is what calls of one workspace may pass in the whole mesh.
+// Limit is the token bucket of one workspace for the whole mesh.
 type Limit struct {
-	Rate  float64 // calls a second
-	Burst float64 // calls at once beyond the rate
+	Rate  float64 // calls per second
+	Burst float64 // bucket size in calls
 }
 
-// Policy says how users count the calls of a workspace against its quota.
+// Policy says how users measure the calls of a workspace against its quota.
 type Policy struct {
-	// Window is the span over which they count; zero where the quota is a token bucket.
+	// Window is the span over which calls are counted; zero where the quota is a token bucket.
 	Window time.Duration
-	// Overage and Slack are what may be beyond the quota in a window: a share of it, and calls.
+	// Overage and Slack are the tolerance in a window: a fraction of the quota, and a number of
+	// calls.
 	Overage, Slack float64
 }
 
-// toleranceUsed is the part of the tolerance that workspaces may use. The rest is for what nodes
-// don't know of each other yet.
+// toleranceUsed is the fraction of the tolerance that a limit hands out. The rest covers calls that
+// nodes have admitted but not reported yet.
 const toleranceUsed = 0.25
 
-// Limit returns the limit of a quota of rate calls a second and burst calls more. A workspace
-// that takes its whole quota in each window takes the burst in each of them as well.
-func (t Policy) Limit(rate, burst float64) Limit {
-	if t.Window <= 0 {
-		return Limit{Rate: rate, Burst: burst + toleranceUsed*t.Slack}
+// Limit returns the limit for a quota of rate calls per second and burst calls on top. A workspace
+// that uses its whole quota in each window uses the burst in each of them as well.
+func (p Policy) Limit(rate, burst float64) Limit {
+	if p.Window <= 0 {
+		return Limit{Rate: rate, Burst: burst + toleranceUsed*p.Slack}
 	}
-	whole := rate*t.Window.Seconds() + burst
-	return Limit{Rate: whole / t.Window.Seconds(), Burst: toleranceUsed * (t.Overage*whole + t.Slack)}
+	whole := rate*p.Window.Seconds() + burst
+	return Limit{Rate: whole / p.Window.Seconds(), Burst: toleranceUsed * (p.Overage*whole + p.Slack)}
 }
 
 const (
-	// spreadOver is the time over which the calls that a bucket holds may pass, or what was
-	// passed too much is made up for.
-	spreadOver = time.Second
-	// nodeSilentAfter and sumSilentAfter are how long a node and another collector may be late.
-	// One that is later may be gone, or behind a cut and go on by itself, with its share of each
-	// quota.
-	nodeSilentAfter = 1500 * time.Millisecond
-	sumSilentAfter  = 500 * time.Millisecond
-	// keepNodeFor and keepSumFor are for how long that share is kept from all others. A node that
-	// is gone keeps nothing from them for longer; a data centre is more likely cut off than gone.
-	keepNodeFor = 10 * time.Second
-	keepSumFor  = 5 * time.Minute
-	// keptMore is what is kept over such a share, since the two sides of a cut don't agree on it
-	// exactly.
-	keptMore = 1.1
-	// decideEvery is the least time between two decisions. Reports in between get the last one.
-	decideEvery = 50 * time.Millisecond
-	// steadyCalls is how many calls a mean is taken over, and longestMean the longest time.
-	steadyCalls = 8
-	longestMean = 2 * time.Second
-	// firstCalls is what the bucket of a collector holds that has heard nothing yet.
-	firstCalls = 5
-	// minUsual keeps a share of next to no calls from being taken for all.
-	minUsual = 1e-3
+	// levelHorizon is the time over which the tokens of a bucket are spent, or its deficit is
+	// recovered.
+	levelHorizon = time.Second
+	// nodeTimeout and collectorTimeout are how late the report of a node or of another collector
+	// may be. A later one may be gone, or partitioned and still admitting calls, so its share of
+	// each quota is reserved.
+	nodeTimeout      = 1500 * time.Millisecond
+	collectorTimeout = 500 * time.Millisecond
+	// nodeExpiry and collectorExpiry are how long after the last report that share stays reserved.
+	// A short time suits a node, which may be gone; a data centre is more likely partitioned
+	// than gone.
+	nodeExpiry      = 10 * time.Second
+	collectorExpiry = 5 * time.Minute
+	// reserveMargin scales the reserved shares, since the two sides of a partition don't compute
+	// exactly the same ones.
+	reserveMargin = 1.1
+	// minDecisionInterval is the least time between two decisions. Reports in between get the
+	// previous one.
+	minDecisionInterval = 50 * time.Millisecond
+	// demandCalls is how many calls the demand is averaged over, and maxDemandWindow the longest
+	// time.
+	demandCalls     = 8
+	maxDemandWindow = 2 * time.Second
+	// initialLevel is the number of tokens in a bucket before the first report.
+	initialLevel = 5
+	// minAverageRate, in calls per second, keeps a reporter with next to no calls from reserving
+	// the whole quota.
+	minAverageRate = 1e-3
 )
 
-// Collector sums up what the mesh takes of each workspace's quota. It is not safe for
-// concurrent use.
+// Collector aggregates the calls of each workspace in the whole mesh and decides on the admission
+// ratios. It is not safe for concurrent use.
 type Collector struct {
-	nodes     map[string]*reporter // that tell this collector
-	others    map[string]*reporter // the collectors that others tell
-	buckets   map[string]*bucket
-	gathered  map[string]int64 // calls of the nodes that passed, by workspace
-	decided   []Admission
-	decidedAt time.Time
+	nodes         map[string]*reporter // nodes that report to this collector
+	collectors    map[string]*reporter // other collectors
+	buckets       map[string]*bucket
+	admittedTotal map[string]int64 // calls admitted by nodes, by workspace
+	decision      []Admission
+	decidedAt     time.Time
 }
 
-// reporter is a node, or a collector that sums up others.
+// reporter is the state of a node, or of another collector.
 type reporter struct {
 	incarnation uint64
-	heard       time.Time
-	usage       map[string]*seen
-	// shares are those of each workspace's quota that a silent reporter keeps; nil for one that
-	// is heard.
-	shares map[string]float64
+	lastReport  time.Time
+	usage       map[string]*usageState
+	// reserved is the share of each workspace's quota that is reserved for a reporter that timed
+	// out; nil while reports arrive.
+	reserved map[string]float64
 }
 
-// seen is what was heard of one workspace's calls.
-type seen struct {
+// usageState is the last report on one workspace.
+type usageState struct {
 	Usage
-	// assumed are the calls taken out of the bucket since, that were not heard of yet.
-	assumed float64
+	// estimated counts the calls taken out of the bucket since that report.
+	estimated float64
 }
 
-// bucket holds the calls of one workspace that may pass at once. Below zero, too many have.
+// bucket is the token bucket of one workspace. A negative level means that too many calls were
+// admitted.
 type bucket struct {
-	level float64
-	part  float64 // that passes, as last decided
-	asked float64 // rate of the calls asked for, a moving mean
+	level  float64
+	ratio  float64 // admission ratio of the last decision
+	demand float64 // moving average of the requested calls per second
 }
 
-// follow takes in the rate of the calls asked for now. The fewer they are, the longer they are
-// averaged over: one of a few calls tells little.
-func (b *bucket) follow(recent, span float64) {
-	over := min(steadyCalls/max(recent, b.asked, 1), longestMean.Seconds())
-	b.asked += (1 - math.Exp(-span/over)) * (recent - b.asked)
+// updateDemand adds the requested rate of the last span to the moving average. The fewer calls
+// there are, the longer the averaging time: a sample of few calls is noisy.
+func (b *bucket) updateDemand(recent, span float64) {
+	over := min(demandCalls/max(recent, b.demand, 1), maxDemandWindow.Seconds())
+	b.demand += (1 - math.Exp(-span/over)) * (recent - b.demand)
 }
 
-// fill adds the calls of a span of seconds, and sets the part that may pass from now on.
-func (b *bucket) fill(limit Limit, recent, span float64) {
+// refill adds the tokens of a span in seconds and updates the admission ratio.
+func (b *bucket) refill(limit Limit, recent, span float64) {
 	b.level = min(b.level+limit.Rate*span, max(limit.Burst, 1))
-	b.follow(recent, span)
-	b.part = partOf(b.asked, limit.Rate+b.level/spreadOver.Seconds())
+	b.updateDemand(recent, span)
+	b.ratio = admissionRatio(b.demand, limit.Rate+b.level/levelHorizon.Seconds())
 }
 
-// partOf returns which part of the calls asked for may pass, both a second.
-func partOf(asked, may float64) float64 {
+// admissionRatio returns the ratio of the demand to admit, given the available rate, both in calls
+// per second.
+func admissionRatio(demand, available float64) float64 {
 	switch {
-	case may <= 0:
+	case available <= 0:
 		return 0
-	case asked <= may:
+	case demand <= available:
 		return 1
 	}
-	return may / asked
+	return available / demand
 }
 
-// NewCollector returns a collector that nobody has told anything.
+// NewCollector returns a collector without reports.
 func NewCollector() *Collector {
 	return &Collector{
-		nodes: make(map[string]*reporter), others: make(map[string]*reporter),
-		buckets: make(map[string]*bucket), gathered: make(map[string]int64),
+		nodes: make(map[string]*reporter), collectors: make(map[string]*reporter),
+		buckets: make(map[string]*bucket), admittedTotal: make(map[string]int64),
 	}
 }
 
-// AddNodeReport takes the report of a node.
+// AddNodeReport records the report of a node.
 func (c *Collector) AddNodeReport(now time.Time, id string, incarnation uint64, usage []Usage) {
-	c.take(now, c.nodes, id, incarnation, usage, true)
+	c.record(now, c.nodes, id, incarnation, usage, true)
 }
 
-// AddCollectorReport takes the report of another collector on the nodes that tell it.
+// AddCollectorReport records the report of another collector: the totals of its nodes.
 func (c *Collector) AddCollectorReport(now time.Time, id string, incarnation uint64, usage []Usage) {
-	c.take(now, c.others, id, incarnation, usage, false)
+	c.record(now, c.collectors, id, incarnation, usage, false)
 }
 
-func (c *Collector) take(now time.Time, from map[string]*reporter, id string, incarnation uint64, usage []Usage, own bool) {
-	r := from[id]
+func (c *Collector) record(now time.Time, reporters map[string]*reporter, id string, incarnation uint64, usage []Usage, isNode bool) {
+	r := reporters[id]
 	known := r != nil && r.incarnation == incarnation
 	if !known {
-		r = &reporter{incarnation: incarnation, usage: make(map[string]*seen)}
-		from[id] = r
+		r = &reporter{incarnation: incarnation, usage: make(map[string]*usageState)}
+		reporters[id] = r
 	}
-	r.heard = now
-	// What passed in a silence was kept from the others.
-	known, r.shares = known && r.shares == nil, nil
+	r.lastReport = now
+	// Calls admitted without reports are covered by the reservation.
+	known, r.reserved = known && r.reserved == nil, nil
 	for _, u := range usage {
 		s := r.usage[u.Workspace]
 		if s == nil {
-			s = new(seen)
+			s = new(usageState)
 			r.usage[u.Workspace] = s
 		}
 		if !known {
-			// Most of what passed before this collector heard of it is long ago.
-			s.Admitted, s.assumed = u.Admitted-min(u.Admitted, int64(u.RecentRate*ReportInterval.Seconds())), 0
+			// Most of the calls admitted before the first report are long ago.
+			s.Admitted, s.estimated = u.Admitted-min(u.Admitted, int64(u.RecentRate*ReportInterval.Seconds())), 0
 		}
-		passed := u.Admitted - s.Admitted
-		if own {
-			c.gathered[u.Workspace] += passed
+		admitted := u.Admitted - s.Admitted
+		if isNode {
+			c.admittedTotal[u.Workspace] += admitted
 		}
-		c.bucket(u.Workspace).level -= float64(passed) - s.assumed
-		s.Usage, s.assumed = u, 0
+		c.bucket(u.Workspace).level -= float64(admitted) - s.estimated
+		s.Usage, s.estimated = u, 0
 	}
 }
 
 func (c *Collector) bucket(workspace string) *bucket {
 	b := c.buckets[workspace]
 	if b == nil {
-		b = &bucket{part: 1, level: firstCalls}
+		b = &bucket{ratio: 1, level: initialLevel}
 		c.buckets[workspace] = b
 	}
 	return b
 }
 
-// Decide returns the workspaces of which not all calls may pass.
+// Decide returns the workspaces whose calls are not all admitted, sorted by name.
 func (c *Collector) Decide(now time.Time, limits map[string]Limit) []Admission {
 	if c.decidedAt.IsZero() {
 		c.decidedAt = now
 	}
-	if now.Sub(c.decidedAt) < decideEvery && c.decided != nil {
-		return c.decided
+	if now.Sub(c.decidedAt) < minDecisionInterval && c.decision != nil {
+		return c.decision
 	}
 	span := now.Sub(c.decidedAt).Seconds()
 	c.decidedAt = now
-	c.forget(now)
-	c.noteSilent(now)
-	recent, kept := c.demand(span), c.kept()
+	c.expire(now)
+	c.reserveTimedOut(now)
+	recent, reservedShares := c.collectDemand(span), c.reservedShares()
 	out := make([]Admission, 0)
 	for name, limit := range limits {
 		b := c.bucket(name)
-		b.fill(limit.less(kept[name]), recent[name], span)
-		if b.part < 1 {
-			out = append(out, Admission{name, b.part})
+		b.refill(limit.withoutShare(reservedShares[name]), recent[name], span)
+		if b.ratio < 1 {
+			out = append(out, Admission{name, b.ratio})
 		}
 	}
 	slices.SortFunc(out, func(a, b Admission) int { return strings.Compare(a.Workspace, b.Workspace) })
-	c.decided = out
+	c.decision = out
 	return out
 }
 
-// less returns what is left of a quota of which others keep a share.
-func (l Limit) less(share float64) Limit {
-	left := max(1-keptMore*share, 0)
+// withoutShare returns the limit less a reserved share of it.
+func (l Limit) withoutShare(share float64) Limit {
+	left := max(1-reserveMargin*share, 0)
 	return Limit{Rate: l.Rate * left, Burst: l.Burst * left}
 }
 
-// noteSilent gives each reporter that has become silent its share of the quotas: that of its
-// usual calls among those of all.
-func (c *Collector) noteSilent(now time.Time) {
-	c.silence(now, c.nodes, nodeSilentAfter)
-	c.silence(now, c.others, sumSilentAfter)
+// reserveTimedOut reserves a share of each quota for every reporter that has timed out: the ratio
+// of its average rate to that of the whole mesh.
+func (c *Collector) reserveTimedOut(now time.Time) {
+	c.reserve(now, c.nodes, nodeTimeout)
+	c.reserve(now, c.collectors, collectorTimeout)
 }
 
-func (c *Collector) silence(now time.Time, among map[string]*reporter, after time.Duration) {
-	for _, r := range among {
-		if r.shares != nil || now.Sub(r.heard) <= after {
+func (c *Collector) reserve(now time.Time, reporters map[string]*reporter, timeout time.Duration) {
+	for _, r := range reporters {
+		if r.reserved != nil || now.Sub(r.lastReport) <= timeout {
 			continue
 		}
-		r.shares = make(map[string]float64, len(r.usage))
+		r.reserved = make(map[string]float64, len(r.usage))
 		for name, s := range r.usage {
-			r.shares[name] = s.AverageRate / max(c.usual(name), s.AverageRate, minUsual)
+			r.reserved[name] = s.AverageRate / max(c.averageRate(name), s.AverageRate, minAverageRate)
 		}
 	}
 }
 
-// usual returns the usual rate of a workspace's calls in the whole mesh.
-func (c *Collector) usual(name string) float64 {
+// averageRate returns the average rate of a workspace's requested calls in the whole mesh.
+func (c *Collector) averageRate(name string) float64 {
 	sum := 0.0
 	for _, r := range c.reporters() {
 		if s := r.usage[name]; s != nil {
@@ -241,73 +248,75 @@
 	return sum
 }
 
-// kept returns the shares of the quotas that silent reporters keep.
-func (c *Collector) kept() map[string]float64 {
-	kept := make(map[string]float64)
+// reservedShares returns the reserved share of each workspace's quota, over all reporters that
+// have timed out.
+func (c *Collector) reservedShares() map[string]float64 {
+	reservedShares := make(map[string]float64)
 	for _, r := range c.reporters() {
-		for name, share := range r.shares {
-			kept[name] += share
+		for name, share := range r.reserved {
+			reservedShares[name] += share
 		}
 	}
-	return kept
+	return reservedShares
 }
 
-// reporters returns all nodes and collectors that this one knows of.
+// reporters returns all known nodes and other collectors.
 func (c *Collector) reporters() []*reporter {
-	out := make([]*reporter, 0, len(c.nodes)+len(c.others))
-	for _, from := range []map[string]*reporter{c.nodes, c.others} {
-		for _, r := range from {
+	out := make([]*reporter, 0, len(c.nodes)+len(c.collectors))
+	for _, group := range []map[string]*reporter{c.nodes, c.collectors} {
+		for _, r := range group {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// demand returns the rate of calls asked for in the whole mesh by workspace, and takes what is assumed to
-// have passed meanwhile out of the buckets.
-func (c *Collector) demand(span float64) map[string]float64 {
+// collectDemand returns the requested rate of each workspace in the whole mesh, and takes the calls
+// estimated to have been admitted during the span out of the buckets.
+func (c *Collector) collectDemand(span float64) map[string]float64 {
 	recent := make(map[string]float64)
 	for _, r := range c.reporters() {
-		if r.shares != nil {
+		if r.reserved != nil {
 			continue
 		}
 		for name, s := range r.usage {
 			recent[name] += s.RecentRate
 			b := c.bucket(name)
-			passed := s.RecentRate * b.part * span
-			s.assumed += passed
-			b.level -= passed
+			admitted := s.RecentRate * b.ratio * span
+			s.estimated += admitted
+			b.level -= admitted
 		}
 	}
 	return recent
 }
 
-// forget drops the reporters that nothing was heard of for long.
-func (c *Collector) forget(now time.Time) {
-	drop := func(from map[string]*reporter, after time.Duration) {
-		maps.DeleteFunc(from, func(_ string, r *reporter) bool { return now.Sub(r.heard) > after })
+// expire drops the reporters whose reservation has ended.
+func (c *Collector) expire(now time.Time) {
+	drop := func(reporters map[string]*reporter, after time.Duration) {
+		maps.DeleteFunc(reporters, func(_ string, r *reporter) bool { return now.Sub(r.lastReport) > after })
 	}
-	drop(c.nodes, keepNodeFor)
-	drop(c.others, keepSumFor)
+	drop(c.nodes, nodeExpiry)
+	drop(c.collectors, collectorExpiry)
 }
 
-// DemandRate returns the rate of a workspace's calls asked for in the whole mesh, a second.
-func (c *Collector) DemandRate(workspace string) float64 { return c.bucket(workspace).asked }
+// DemandRate returns the requested calls per second of a workspace in the whole mesh.
+func (c *Collector) DemandRate(workspace string) float64 { return c.bucket(workspace).demand }
 
-// NodeCount returns how many nodes tell this collector.
+// NodeCount returns how many nodes report to this collector.
 func (c *Collector) NodeCount() int { return len(c.nodes) }
 
-// NodeTotals returns what the nodes that tell this collector take, for other collectors.
+// NodeTotals returns the usage of each workspace over all nodes that report to this collector,
+// sorted by name, for other collectors.
 func (c *Collector) NodeTotals() []Usage {
 	sums := make(map[string]*Usage)
 	for _, r := range c.nodes {
-		if r.shares != nil {
+		if r.reserved != nil {
 			continue
 		}
 		for name, s := range r.usage {
 			sum := sums[name]
 			if sum == nil {
-				sum = &Usage{Workspace: name, Admitted: c.gathered[name]}
+				sum = &Usage{Workspace: name, Admitted: c.admittedTotal[name]}
 				sums[name] = sum
 			}
 			sum.RecentRate += s.RecentRate
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -11,29 +11,29 @@
 
 // Bounds of a drawn schedule.
 const (
-	scheduleLasts = 24 * time.Second
-	// calmFor is how long a mesh has been up when troubles may begin: callers come later than VMs.
-	calmFor = 3 * time.Second
-	// settlesIn is how long after a lower quota was stated all nodes have to keep to it.
-	settlesIn = 2 * time.Second
+	scheduleLength = 24 * time.Second
+	// warmUp is how long a mesh runs before faults may begin: callers start later than VMs.
+	warmUp = 3 * time.Second
+	// settleTime is how long after a quota was lowered all nodes must comply.
+	settleTime = 2 * time.Second
 )
 
-// span is a time in which something lasts.
+// span is an interval of time.
 type span struct{ from, to time.Duration }
 
 func drawSpan(t *rapid.T, label string) span {
-	from := calmFor + time.Duration(rapid.IntRange(0, 17000).Draw(t, label+" from ms"))*time.Millisecond
+	from := warmUp + time.Duration(rapid.IntRange(0, 17000).Draw(t, label+" from ms"))*time.Millisecond
 	length := time.Duration(rapid.IntRange(200, 8000).Draw(t, label+" lasts ms")) * time.Millisecond
 	return span{from, from + length}
 }
 
-func (s span) holds(at time.Duration) bool { return at >= s.from && at < s.to }
+func (s span) contains(at time.Duration) bool { return at >= s.from && at < s.to }
 
-// troubles are the cuts of a schedule, or its losses, by data centre.
-type troubles map[int][]span
+// faults are the partitions of a schedule, or its unreachable collectors, by data centre.
+type faults map[int][]span
 
-func drawTroubles(t *rapid.T, label string, dcs int) troubles {
-	out := make(troubles)
+func drawFaults(t *rapid.T, label string, dcs int) faults {
+	out := make(faults)
 	for i := range rapid.IntRange(0, 3).Draw(t, label+"s") {
 		name := fmt.Sprint(label, " ", i)
 		dc := rapid.IntRange(0, dcs-1).Draw(t, name+" data centre")
@@ -42,33 +42,33 @@
 	return out
 }
 
-func (ts troubles) hold(dc int, at time.Duration) bool {
-	for _, s := range ts[dc] {
-		if s.holds(at) {
+func (fs faults) active(dc int, at time.Duration) bool {
+	for _, s := range fs[dc] {
+		if s.contains(at) {
 			return true
 		}
 	}
 	return false
 }
 
-// mostTimes is how many times its usual a workspace sends at most, as in the users' sites.
-const mostTimes = 9
+// maxSurgeFactor bounds how many times its average rate a workspace sends, as at the users' sites.
+const maxSurgeFactor = 9
 
-// surge is a time in which a workspace sends so many times its usual.
+// surge is an interval in which a workspace sends a multiple of its average rate.
 type surge struct {
 	span
-	times float64
+	factor float64
 }
 
 func drawHot(t *rapid.T, names []string) map[string]surge {
 	out := make(map[string]surge)
 	for _, name := range rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, 3, rapid.ID).Draw(t, "hot") {
-		out[name] = surge{drawSpan(t, name), rapid.Float64Range(2, mostTimes).Draw(t, name+" times")}
+		out[name] = surge{drawSpan(t, name), rapid.Float64Range(2, maxSurgeFactor).Draw(t, name+" times")}
 	}
 	return out
 }
 
-// drawRestarts returns when nodes are killed and started again.
+// drawRestarts returns when nodes are killed and restarted, by their index.
 func drawRestarts(t *rapid.T, nodes int) map[time.Duration]int {
 	out := make(map[time.Duration]int)
 	for i := range rapid.IntRange(0, 4).Draw(t, "restarts") {
@@ -78,20 +78,20 @@
 	return out
 }
 
-// restart starts a node again, with nothing of what it knew.
+// restart restarts a node without its state.
 func (s *sim) restart(n *simNode) {
-	n.l, n.before, n.reached, n.sent = NewLimiter(s.now), nil, time.Time{}, s.now
+	n.limiter, n.lastAnswered, n.answeredAt, n.reportedAt = NewLimiter(s.now), nil, time.Time{}, s.now
 	n.incarnation++
 }
 
-// schedule is what happens to a mesh in one run.
+// schedule contains the events of one run of a mesh.
 type schedule struct {
-	sim       *sim
-	cut, lost troubles
-	hot       map[string]surge
-	restarts  map[time.Duration]int // of nodes, by their index
-	lowered   string                // the workspace whose quota is halved
-	loweredAt time.Duration
+	sim                        *sim
+	partitioned, collectorDown faults
+	hot                        map[string]surge
+	restarts                   map[time.Duration]int // node indexes by time
+	lowered                    string                // the workspace whose quota is halved
+	loweredAt                  time.Duration
 }
 
 func drawSchedule(t *rapid.T) *schedule {
@@ -99,23 +99,23 @@
 	nodes := dcs * rapid.IntRange(2, 12).Draw(t, "nodes a data centre")
 	s := newSim(rapid.Uint64().Draw(t, "seed"), nodes, dcs, 12, 400)
 	return &schedule{
-		sim: s, cut: drawTroubles(t, "cut", dcs), lost: drawTroubles(t, "lost", dcs),
+		sim: s, partitioned: drawFaults(t, "cut", dcs), collectorDown: drawFaults(t, "lost", dcs),
 		hot: drawHot(t, s.names), restarts: drawRestarts(t, nodes),
 		lowered:   rapid.SampledFrom(s.names).Draw(t, "lowered"),
 		loweredAt: time.Duration(rapid.IntRange(2, 12).Draw(t, "lowered after s")) * time.Second,
 	}
 }
 
-// spread reports whether no surge begins or ends about when a cut or a loss does, or is of the
-// workspace whose quota was lowered.
-func (sc *schedule) spread() bool {
+// surgesIsolated reports whether no surge begins or ends within a second of a partition or of the
+// loss of a collector, and none is of the workspace whose quota is lowered.
+func (sc *schedule) surgesIsolated() bool {
 	if _, hot := sc.hot[sc.lowered]; hot {
 		return false
 	}
 	for _, h := range sc.hot {
-		for _, ts := range []troubles{sc.cut, sc.lost} {
-			for _, spans := range ts {
-				if slices.ContainsFunc(spans, h.meets) {
+		for _, fs := range []faults{sc.partitioned, sc.collectorDown} {
+			for _, spans := range fs {
+				if slices.ContainsFunc(spans, h.endsNear) {
 					return false
 				}
 			}
@@ -124,8 +124,8 @@
 	return true
 }
 
-// meets reports whether an end of one span is close to one of the other.
-func (s span) meets(o span) bool {
+// endsNear reports whether an end of one span is within a second of an end of the other.
+func (s span) endsNear(o span) bool {
 	for _, a := range []time.Duration{s.from, s.to} {
 		for _, b := range []time.Duration{o.from, o.to} {
 			if (a - b).Abs() < time.Second {
@@ -136,15 +136,15 @@
 	return false
 }
 
-// play runs the schedule, and checks each quota in each window.
-func (sc *schedule) play(t *rapid.T) {
+// simulate runs the schedule, and checks each quota in each window.
+func (sc *schedule) simulate(t *rapid.T) {
 	s := sc.sim
-	s.cut, s.lost = sc.cut.hold, sc.lost.hold
+	s.partitioned, s.collectorDown = sc.partitioned.active, sc.collectorDown.active
 	for name, h := range sc.hot {
-		s.hot(h.times, h.from, h.to, name)
+		s.hot(h.factor, h.from, h.to, name)
 	}
 	before := s.limits[sc.lowered]
-	for at := time.Duration(0); at < scheduleLasts; at += time.Second {
+	for at := time.Duration(0); at < scheduleLength; at += time.Second {
 		if at == sc.loweredAt {
 			s.limits[sc.lowered] = Limit{Rate: before.Rate / 2, Burst: before.Burst / 2}
 		}
@@ -156,49 +156,49 @@
 	s.checkSchedule(t, sc.lowered, before, sc.loweredAt)
 }
 
-// Guards every quota against any schedule of cuts, lost collectors, restarts, lower quotas and
-// workspaces that send many times their usual.
+// Guards against quotas that are exceeded under partitions, unreachable collectors, restarts, lowered
+// quotas and surges at once.
 func TestNoScheduleOverspends(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { drawSchedule(t).play(t) })
+	rapid.Check(t, func(t *rapid.T) { drawSchedule(t).simulate(t) })
 }
 
-// Guards the same where a surge meets neither a cut, nor a loss, nor a lower quota.
-func TestNoSpreadScheduleOverspends(t *testing.T) {
+// Guards the same for surges that coincide with no partition, lost collector or lowered quota.
+func TestIsolatedSurgesStayWithinQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sc := drawSchedule(t)
-		if !sc.spread() {
-			t.Skip("a surge meets other trouble")
+		if !sc.surgesIsolated() {
+			t.Skip("a surge coincides with another fault")
 		}
-		sc.play(t)
+		sc.simulate(t)
 	})
 }
 
-// Guards a quota against a part that is no number once nothing is left of it and nobody asks.
-func TestEmptyQuotaHasAPart(t *testing.T) {
+// Guards against an admission ratio of NaN for an empty quota without demand.
+func TestEmptyQuotaAdmitsNothing(t *testing.T) {
 	b := bucket{level: -1}
-	b.fill(Limit{}, 0, 10)
-	if b.part != 0 {
-		t.Errorf("part %v passes", b.part)
+	b.refill(Limit{}, 0, 10)
+	if b.ratio != 0 {
+		t.Errorf("admission ratio %v, want 0", b.ratio)
 	}
 }
 
 func (s *sim) checkSchedule(t *rapid.T, lowered string, before Limit, loweredAt time.Duration) {
 	for _, name := range s.names {
-		passed, limit := s.passed[name], s.limits[name]
+		admitted, limit := s.admitted[name], s.limits[name]
 		if name == lowered {
-			after := since(passed, loweredAt+settlesIn)
-			if got, want := most(after), allowedBy(limit); float64(got) > want {
-				t.Errorf("%s: %d calls passed in a window after its quota was lowered, %.0f allowed", name, got, want)
+			after := since(admitted, loweredAt+settleTime)
+			if got, want := maxInWindow(after), allowedBy(limit); float64(got) > want {
+				t.Errorf("%s: %d calls admitted in a window after its quota was lowered, %.0f allowed", name, got, want)
 			}
 			limit = before
 		}
-		if got, want := most(passed), allowedBy(limit); float64(got) > want {
-			t.Errorf("%s: %d calls passed in a window, %.0f allowed", name, got, want)
+		if got, want := maxInWindow(admitted), allowedBy(limit); float64(got) > want {
+			t.Errorf("%s: %d calls admitted in a window, %.0f allowed", name, got, want)
 		}
 	}
 }
 
-// since returns the moments from one on.
+// since returns the times from one on.
 func since(at []time.Duration, from time.Duration) []time.Duration {
 	for i, t := range at {
 		if t >= from {
--- a/internal/quota/times.go
+++ b/internal/quota/times.go
@@ -5,13 +5,14 @@
 const (
 	// ReportInterval is the time between two reports of a node to its collector.
 	ReportInterval = 300 * time.Millisecond
-	// MinReportInterval is the least time between two reports, where calls come in a surge.
+	// MinReportInterval is the least time between two reports during a surge of calls.
 	MinReportInterval = 60 * time.Millisecond
-	// ExchangeInterval is the time between two sums that a collector tells another.
+	// ExchangeInterval is the time between two reports of totals from one collector to another.
 	ExchangeInterval = 200 * time.Millisecond
-	// IdleAfter is how long a node goes on with its reports after the last call of a workspace.
-	// By then its usual rates have decayed, and others keep next to nothing for it.
+	// IdleAfter is how long a node keeps reporting after its last call of a workspace. By then
+	// its average rates have decayed, and collectors reserve next to nothing for it.
 	IdleAfter = 30 * time.Second
-	// FallbackAfter is how long a node without an answer of a collector goes by the last one.
+	// FallbackAfter is how long a node applies the last response of a collector when no new one
+	// arrives.
 	FallbackAfter = 600 * time.Millisecond
 )
