--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -26,7 +26,7 @@
 
 const (
 	kindExchange kind = "exchange"
-	kindTell     kind = "tell"
+	kindPush     kind = "tell" // the metric label keeps this value
 	kindPull     kind = "pull"
 	kindSubmit   kind = "submit"
 	kindAlert    kind = "alert"
@@ -50,7 +50,7 @@
 		kinds:              make(map[kind]*kindMetrics),
 		refused:            make(map[trust.Reason]*metrics.Counter),
 	}
-	for _, k := range []kind{kindExchange, kindTell, kindPull, kindSubmit, kindAlert, kindReport, kindRollout, kindUsage} {
+	for _, k := range []kind{kindExchange, kindPush, kindPull, kindSubmit, kindAlert, kindReport, kindRollout, kindUsage} {
 		l := `{kind="` + string(k) + `"}`
 		m.kinds[k] = &kindMetrics{
 			sent:     set.NewCounter("marlpass_peer_sent_total" + l),
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -190,7 +190,7 @@
 func (s *service) Exchange(ctx context.Context, e *peerpb.Envelope) (*peerpb.Envelope, error) {
 	k := kindExchange
 	if e.Membership == nil {
-		k = kindTell
+		k = kindPush
 	}
 	if err := s.authorize(ctx, k, e); err != nil {
 		return nil, err
