--- a/internal/distribute/advance.go
+++ b/internal/distribute/advance.go
@@ -6,16 +6,16 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// applyDeltas moves the chain on by deltas that a source sent. Deltas that are
-// already held are skipped, so doubled and crossed updates do no harm. It
-// reports false when the source broke the rules or has another history.
+// applyDeltas applies the deltas of a source to the chain. Deltas already held are skipped, so
+// duplicate and reordered updates are harmless. It returns false when the source sent an invalid
+// delta or has another history.
 func (s *State) applyDeltas(source string, ds []*config.Delta) bool {
 	from := s.Version()
 	ok := true
 	for _, d := range ds {
 		if d.To.Number <= s.Version().Number {
 			if s.chain.relation(d.To) == relationOther {
-				s.conflict(source, d.To)
+				s.recordConflict(source, d.To)
 				ok = false
 				break
 			}
@@ -25,49 +25,49 @@
 			break // a gap: the rest has to be pulled
 		}
 		if d.From != s.Version() {
-			s.conflict(source, d.To)
+			s.recordConflict(source, d.To)
 			ok = false
 			break
 		}
 		if err := s.chain.apply(d); err != nil {
-			s.bad(source, err)
+			s.reportBadPeer(source, err)
 			ok = false
 			break
 		}
 	}
 	if s.Version() != from {
-		s.advanced(from, source == SourcePlatform || source == s.set.Self)
+		s.onDeltasApplied(from, source == SourcePlatform || source == s.set.Self)
 	}
 	return ok
 }
 
-// advanced follows every move of the chain by deltas.
-func (s *State) advanced(from config.Version, origin bool) {
+// onDeltasApplied runs after every advance of the chain by deltas.
+func (s *State) onDeltasApplied(from config.Version, origin bool) {
 	s.emit(Offer{s.chain.head})
-	s.planTell(from, origin)
-	s.settleClaims()
+	s.planPush(from, origin)
+	s.dropReachedClaims()
 }
 
-// jumped follows the replacement of the chain by a snapshot. Peers had it
-// before this node, so it is told only when it came from the platform.
-func (s *State) jumped(snap *config.Snapshot, origin bool) {
-	s.jump = nil
+// applySnapshot replaces the chain by a snapshot. A snapshot from a peer is already known to other
+// nodes, so only one from the platform is pushed.
+func (s *State) applySnapshot(snap *config.Snapshot, origin bool) {
+	s.pending = nil
 	from := s.Version()
 	if !snap.Version().Newer(from) {
-		return // deltas got there first
+		return // deltas arrived first
 	}
-	s.chain.jump(snap)
+	s.chain.reset(snap)
 	s.emit(Offer{snap})
 	if origin {
-		s.planTell(from, true)
+		s.planPush(from, true)
 	}
-	s.settleClaims()
+	s.dropReachedClaims()
 }
 
-// accepted takes a change that this node committed on the platform.
+// accepted handles a change that this node committed on the platform.
 func (s *State) accepted(d *config.Delta) {
 	if d.From.Number > s.Version().Number {
-		// The platform was ahead of this node; the deltas between are there.
+		// The platform is ahead of this node: read the deltas in between.
 		s.feed.head = d.To
 		s.readSince(d.To)
 		return
@@ -81,34 +81,33 @@
 	}
 }
 
-// bad reports a source whose answer did not verify and stops believing it for
-// a while. A lying or broken peer could otherwise keep this node pulling from
-// it, or keep a starting node from becoming ready, by claiming a version that
-// it cannot show.
-func (s *State) bad(source string, err error) {
+// reportBadPeer reports a source whose answer failed verification and bans it for a while.
+// Otherwise a faulty or malicious peer that claims a version it cannot supply could keep this node
+// pulling from it, or keep a starting node from becoming ready.
+func (s *State) reportBadPeer(source string, err error) {
 	s.report(&BadPeer{Peer: source, Err: err}, source, config.Version{})
-	s.discredit(source)
+	s.ban(source)
 }
 
-func (s *State) discredit(peer string) {
+func (s *State) ban(peer string) {
 	if peer == SourcePlatform || peer == s.set.Self {
 		return
 	}
 	delete(s.claims, peer)
-	for p, until := range s.discredited {
+	for p, until := range s.bannedUntil {
 		if until.Before(s.now) {
-			delete(s.discredited, p)
+			delete(s.bannedUntil, p)
 		}
 	}
-	if len(s.discredited) < s.set.MaxPeers {
-		s.discredited[peer] = s.now.Add(s.set.BanTime)
+	if len(s.bannedUntil) < s.set.MaxPeers {
+		s.bannedUntil[peer] = s.now.Add(s.set.BanTime)
 	}
 }
 
-func (s *State) believed(peer string) bool {
-	until, ok := s.discredited[peer]
+func (s *State) allowed(peer string) bool {
+	until, ok := s.bannedUntil[peer]
 	return !ok || !s.now.Before(until)
 }
 
-// isBad reports whether a failed answer was the peer's own fault.
-func isBad(err error) bool { return errors.Is(err, ErrBadAnswer) }
+// isBadAnswer reports whether a failed request was the peer's own fault.
+func isBadAnswer(err error) bool { return errors.Is(err, ErrBadAnswer) }
--- a/internal/distribute/chain.go
+++ b/internal/distribute/chain.go
@@ -7,40 +7,39 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// relation says how a version stands to the chain held.
+// relation is how a version relates to the chain held.
 type relation uint8
 
 const (
-	relationUnknown relation = iota // too old to tell, or newer
+	relationUnknown relation = iota // newer, or older than the ancestors kept
 	relationHeld                    // in the chain
 	relationOther                   // same number, other hash
 )
 
-// chain is the newest verified snapshot and the deltas that led to it, bounded
-// in number and size.
+// chain is the newest verified snapshot and a bounded list of the deltas that led to it.
 type chain struct {
-	head     *config.Snapshot
-	deltas   []*config.Delta // oldest first; the last one leads to head
-	bytes    int
-	past     []config.Version // known ancestors of head, oldest first, gaps allowed
-	maxCount int
-	maxBytes int
-	maxPast  int
+	head         *config.Snapshot
+	deltas       []*config.Delta // oldest first; the last one leads to head
+	bytes        int
+	ancestors    []config.Version // known ancestors of head, oldest first, gaps allowed
+	maxCount     int
+	maxBytes     int
+	maxAncestors int
 }
 
 func newChain(maxCount, maxBytes int) *chain {
-	return &chain{head: config.Empty(), maxCount: maxCount, maxBytes: maxBytes, maxPast: maxPast}
+	return &chain{head: config.Empty(), maxCount: maxCount, maxBytes: maxBytes, maxAncestors: maxAncestors}
 }
 
 func (c *chain) version() config.Version { return c.head.Version() }
 
-// apply moves the chain on by one verified delta.
+// apply advances the chain by one verified delta.
 func (c *chain) apply(d *config.Delta) error {
 	next, err := d.Apply(c.head)
 	if err != nil {
 		return err
 	}
-	c.remember(c.version())
+	c.addAncestor(c.version())
 	c.head = next
 	c.deltas = append(c.deltas, d)
 	c.bytes += deltaSize(d)
@@ -48,8 +47,8 @@
 	return nil
 }
 
-// trim drops the oldest deltas that are over the bounds. It copies what stays,
-// because since hands out parts of the slice.
+// trim drops the oldest deltas that exceed the bounds. It copies the rest, because since returns
+// parts of the slice.
 func (c *chain) trim() {
 	n := 0
 	for len(c.deltas)-n > c.maxCount || (c.bytes > c.maxBytes && n < len(c.deltas)) {
@@ -61,38 +60,37 @@
 	}
 }
 
-// jump replaces the chain by a snapshot that no delta led to, but that is known
-// to descend from the head.
-func (c *chain) jump(s *config.Snapshot) {
-	c.remember(c.version())
+// reset replaces the chain by a snapshot that is known to descend from the head, without the deltas
+// in between.
+func (c *chain) reset(s *config.Snapshot) {
+	c.addAncestor(c.version())
 	if v := s.Version(); v.Number > c.version().Number+1 {
-		c.remember(config.Version{Number: v.Number - 1, Hash: s.Parent()})
+		c.addAncestor(config.Version{Number: v.Number - 1, Hash: s.Parent()})
 	}
 	c.head, c.deltas, c.bytes = s, nil, 0
 }
 
-// maxPast bounds the ancestors remembered by number and hash: 160 KB, and four
-// days of 930 changes. They outlast the deltas, so that a node that was cut off
-// for longer than those reach back can still be told that its version is in
-// the history.
-const maxPast = 4096
+// maxAncestors bounds the ancestors kept by number and hash: 160 KB, or four days at 930 changes a
+// day. They outlast the deltas, so that a node partitioned for longer than the deltas reach back
+// can still learn that its version is in the history.
+const maxAncestors = 4096
 
-func (c *chain) remember(v config.Version) {
+func (c *chain) addAncestor(v config.Version) {
 	if v.Number == 0 {
 		return
 	}
-	if len(c.past) >= c.maxPast {
-		c.past = slices.Delete(c.past, 0, len(c.past)-c.maxPast+1)
+	if len(c.ancestors) >= c.maxAncestors {
+		c.ancestors = slices.Delete(c.ancestors, 0, len(c.ancestors)-c.maxAncestors+1)
 	}
-	c.past = append(c.past, v)
+	c.ancestors = append(c.ancestors, v)
 }
 
-// relation compares v with every version that the chain still knows.
+// relation compares v with every version that the chain still has a hash for.
 func (c *chain) relation(v config.Version) relation {
 	if v.Number == 0 {
-		return relationHeld // every history starts from the empty snapshot
+		return relationHeld // every history starts with the empty snapshot
 	}
-	known, ok := c.at(v.Number)
+	known, ok := c.hashAt(v.Number)
 	switch {
 	case !ok:
 		return relationUnknown
@@ -102,8 +100,8 @@
 	return relationOther
 }
 
-// at returns the hash of version number n, if it is still known.
-func (c *chain) at(n uint64) (config.Hash, bool) {
+// hashAt returns the hash of version number n, if it is still known.
+func (c *chain) hashAt(n uint64) (config.Hash, bool) {
 	head := c.version()
 	if n == head.Number {
 		return head.Hash, true
@@ -111,17 +109,17 @@
 	if n+1 == head.Number {
 		return c.head.Parent(), true
 	}
-	i, ok := slices.BinarySearchFunc(c.past, n, func(v config.Version, n uint64) int {
+	i, ok := slices.BinarySearchFunc(c.ancestors, n, func(v config.Version, n uint64) int {
 		return cmp.Compare(v.Number, n)
 	})
 	if !ok {
 		return config.Hash{}, false
 	}
-	return c.past[i].Hash, true
+	return c.ancestors[i].Hash, true
 }
 
-// since returns the deltas that lead from v to the head, or false when they
-// are no longer known. Callers must not change the slice.
+// since returns the deltas from v to the head, or false when they are no longer kept. Callers must
+// not change the slice.
 func (c *chain) since(v config.Version) ([]*config.Delta, bool) {
 	head := c.version()
 	if v == head {
@@ -135,7 +133,7 @@
 	return out, out[0].From == v
 }
 
-// deltaOverhead is the size of a delta's fixed fields, roughly.
+// deltaOverhead is the approximate size of a delta's fixed fields in bytes.
 const deltaOverhead = 128
 
 func deltaSize(d *config.Delta) int {
--- a/internal/distribute/confirm.go
+++ b/internal/distribute/confirm.go
@@ -7,43 +7,45 @@
 )
 
 const (
-	// inForceIn is the operators' bound from the acceptance of a change until it is in force on
+	// inForceLimit is the operators' limit from the acceptance of a change until it is in force on
 	// every node that reaches the platform.
-	inForceIn = 13 * time.Second
-	// readTime is kept of that for reading the platform's head and log, and for putting the version
-	// in force.
-	readTime = 800 * time.Millisecond
-	// confirmWithin is how old a node that reads for itself alone lets its confirmation become.
-	confirmWithin = inForceIn - readTime
-	// tellTime is kept for telling the others, beside Profile.PushDelay for each of tellSteps from
-	// the node that reads through the first of a data centre to the last.
-	tellTime  = 500 * time.Millisecond
-	tellSteps = 3
-	// standInSpread is the time from the first to the last node of a data centre that would read in
-	// place of its feeders. The first one leaves a confirmation the time to pass through a data
-	// centre with the membership's messages, as it does in calm times.
-	standInSpread = 2 * time.Second
-	// unheardFor is how long a node hears no other before it takes itself for cut off.
-	unheardFor = 5 * time.Second
+	inForceLimit = 13 * time.Second
+	// readAllowance is the part of inForceLimit reserved for reading the platform's head and log
+	// and for putting the version in force.
+	readAllowance = 800 * time.Millisecond
+	// confirmWithin is the maximum age of the confirmation of a node that reads for itself alone.
+	confirmWithin = inForceLimit - readAllowance
+	// pushAllowance is reserved for pushing to the other nodes, in addition to Profile.PushDelay
+	// for each of pushHops, from the node that reads through the first of a data centre to the
+	// last.
+	pushAllowance = 500 * time.Millisecond
+	pushHops      = 3
+	// fallbackSpread is the time between the fallback reads of the first and the last node of a
+	// data centre. It starts late enough for a confirmation to spread through a data centre with
+	// the membership's messages, as it does in normal operation.
+	fallbackSpread = 2 * time.Second
+	// peerSilenceTimeout is how long a node receives no message before it considers itself
+	// isolated.
+	peerSilenceTimeout = 5 * time.Second
 )
 
-// Confirmation is the newest answer of the platform, or of another source of versions, that makes a
-// version the newest.
+// Confirmation is the most recent answer of the platform, or of another source of versions, that
+// shows a version to be the newest.
 type Confirmation struct {
-	At     time.Time // when the source was asked, or zero
-	Reader string    // id of the node that asked; empty if none is known
+	At     time.Time // when the source was read, or zero
+	Reader string    // ID of the node that read it; empty if unknown
 }
 
-// MaxConfirmedAge bounds what a message can say; older is as good as never.
+// MaxConfirmedAge bounds the age of a confirmation in a message; an older one counts as none.
 const MaxConfirmedAge = time.Hour
 
-// ConfirmationFromProto reads what a message says that was taken at some time.
+// ConfirmationFromProto decodes the confirmation of a message received at now.
 func ConfirmationFromProto(now time.Time, c *peerpb.Confirmation) Confirmation {
 	ms := min(c.GetAgeMs(), uint64(MaxConfirmedAge.Milliseconds()))
 	return Confirmation{At: now.Add(-time.Duration(ms) * time.Millisecond), Reader: c.GetReader()}
 }
 
-// Proto returns what a message says that is sent at some time, or nil if nothing is known.
+// Proto encodes the confirmation for a message sent at now, or returns nil if there is none.
 func (c Confirmation) Proto(now time.Time) *peerpb.Confirmation {
 	if c.Reader == "" {
 		return nil
@@ -51,35 +53,36 @@
 	return &peerpb.Confirmation{AgeMs: CeilMilliseconds(now.Sub(c.At)), Reader: c.Reader}
 }
 
-// CeilMilliseconds returns an age for a message, rounded up: rounded down, each node that passes
-// it on would make it younger.
+// CeilMilliseconds returns an age for a message, rounded up: rounded down, it would shrink at each
+// node that forwards it.
 func CeilMilliseconds(age time.Duration) uint64 {
 	return uint64((max(age, 0) + time.Millisecond - 1).Milliseconds())
 }
 
-// noteConfirmed notes that the platform, asked by reader at some time, had no version newer than the
-// one held.
-func (s *State) noteConfirmed(at time.Time, reader string) {
+// recordConfirmation records that the platform, read by reader at that time, had no version newer
+// than the one held.
+func (s *State) recordConfirmation(at time.Time, reader string) {
 	if at.After(s.confirmed.At) {
 		s.confirmed = Confirmation{at, reader}
 	}
 }
 
-// RecordMessage takes what any message of a peer tells: that it is heard, and how old the newest answer
-// of the platform is behind its version. That a version held was the newest at some time confirms
-// a later one as well.
+// RecordMessage records what every message of a peer carries: that the peer is reachable, and the
+// confirmation of its version. A confirmation of an older version in the history held also covers
+// the version held.
 func (s *State) RecordMessage(now time.Time, e VersionReceived) {
-	s.heardAt = now
+	s.lastMessageAt = now
 	if e.Confirmed.Reader != "" && s.chain.relation(e.Version) == relationHeld {
-		s.noteConfirmed(e.Confirmed.At, e.Confirmed.Reader)
+		s.recordConfirmation(e.Confirmed.At, e.Confirmed.Reader)
 	}
 }
 
-// confirmRead confirms the version held once it has reached what the platform answered this node.
-func (s *State) confirmRead() {
+// confirmFromRead confirms the version held once it has reached the head that this node read from
+// the platform.
+func (s *State) confirmFromRead() {
 	f := &s.feed
-	if f.askedAt.After(s.confirmed.At) && f.current && s.chain.relation(f.answer) == relationHeld {
-		s.noteConfirmed(f.askedAt, s.set.Self)
+	if f.sentAt.After(s.confirmed.At) && f.headCurrent && s.chain.relation(f.answeredHead) == relationHeld {
+		s.recordConfirmation(f.sentAt, s.set.Self)
 	}
 }
 
@@ -92,58 +95,61 @@
 	return s.confirmed.At
 }
 
-// overdue reports whether a node that is no feeder has to read the platform itself.
+// fallbackReadDue reports whether a node that is not a feeder has to read the platform itself.
 //
-// It guards against feeders that get no answer, or that this node does not hear: both look like a
-// time without changes. The nodes of a data centre read one after the other, by rank, so that one
-// whom the platform answers confirms the version to the others before most of them read. After an
-// answer that confirms nothing, as an old head, a node waits for as long as the bound allows.
-func (s *State) overdue() bool {
+// It guards against feeders that get no answer and feeders that this node cannot reach: both look
+// like a period without changes. The nodes of a data centre read one after the other, by rank, so
+// that the first one that the platform answers confirms the version to the others before most of
+// them read. After an answer that confirms nothing, such as an older head, a node waits for as long
+// as the limit allows.
+func (s *State) fallbackReadDue() bool {
 	f := &s.feed
-	if f.feeder || !s.start.done || s.now.Before(f.standInAt) {
+	if f.feeder || !s.startup.done || s.now.Before(f.fallbackAfter) {
 		return false
 	}
-	if f.answeredAt.After(s.confirmed.At) && s.now.Sub(f.answeredAt) < s.readsAloneEvery() {
+	if f.answeredSentAt.After(s.confirmed.At) && s.now.Sub(f.answeredSentAt) < s.isolatedReadInterval() {
 		return false
 	}
-	return s.now.Sub(s.confirmedSince()) >= s.standsInAfter()
+	return s.now.Sub(s.confirmedSince()) >= s.fallbackReadAge()
 }
 
-// standsInAfter returns how old the confirmation of a node that is no feeder becomes before it reads.
-func (s *State) standsInAfter() time.Duration {
+// fallbackReadAge returns the age of the confirmation at which a node that is not a feeder reads
+// the platform.
+func (s *State) fallbackReadAge() time.Duration {
 	f := &s.feed
-	if s.confirmed.Reader == s.set.Self && s.hearsNobody() {
-		return s.readsAloneEvery()
+	if s.confirmed.Reader == s.set.Self && s.peersSilent() {
+		return s.isolatedReadInterval()
 	}
-	last := confirmWithin - tellTime - tellSteps*s.set.Profile.PushDelay
-	return last - standInSpread*time.Duration(f.among-f.rank)/time.Duration(max(f.among, 1))
+	latest := confirmWithin - pushAllowance - pushHops*s.set.Profile.PushDelay
+	return latest - fallbackSpread*time.Duration(f.candidates-f.rank)/time.Duration(max(f.candidates, 1))
 }
 
-// readsAloneEvery returns the time between the reads of a node that nobody else confirms its version
-// to. All others of its data centre may be in the same place, and together they read as often as its
-// feeders do, or as seldom as the bound allows.
-func (s *State) readsAloneEvery() time.Duration {
-	shared := s.set.Profile.HeadInterval * time.Duration(s.feed.among) / feedersPerDC
+// isolatedReadInterval returns the time between the reads of a node that receives no confirmation
+// from others. All nodes of its data centre may be in the same state; together they read as often
+// as the feeders would, or as seldom as the limit allows.
+func (s *State) isolatedReadInterval() time.Duration {
+	shared := s.set.Profile.HeadInterval * time.Duration(s.feed.candidates) / feedersPerDC
 	return min(shared, confirmWithin)
 }
 
-// noteStandIn reports a read in place of the feeders that was needed: it found a newer version, or
-// nobody else has confirmed the one held since the read before. It reports once until somebody does. In
-// a large data centre a confirmation comes late now and then; a read for that alone is no fault.
-func (s *State) noteStandIn(needed bool) {
+// reportFallbackRead reports a fallback read that was needed: it found a newer version, or no other
+// node has confirmed the version held since the previous read. It reports once until another node
+// confirms. In a large data centre confirmations are occasionally late; a read for that reason
+// alone is not a fault.
+func (s *State) reportFallbackRead(needed bool) {
 	f := &s.feed
 	if s.confirmed.Reader != s.set.Self {
-		f.reported = false
+		f.fallbackReported = false
 	}
-	if !needed || f.reported {
+	if !needed || f.fallbackReported {
 		return
 	}
-	f.reported = true
+	f.fallbackReported = true
 	s.emit(FallbackRead{&ConfirmationOverdue{Held: s.Version(), Age: s.now.Sub(s.confirmedSince()), Reader: s.confirmed.Reader}})
 }
 
-// alone reports whether this node hears none of the others that its membership lists. What a feeder
-// reads reaches nobody else then.
-func (s *State) alone() bool { return s.feed.unsure && s.hearsNobody() }
+// isolated reports whether this node receives no message from the members it knows. What a feeder
+// reads then reaches no other node.
+func (s *State) isolated() bool { return s.feed.mostSuspect && s.peersSilent() }
 
-func (s *State) hearsNobody() bool { return s.now.Sub(s.heardAt) >= unheardFor }
+func (s *State) peersSilent() bool { return s.now.Sub(s.lastMessageAt) >= peerSilenceTimeout }
--- a/internal/distribute/event.go
+++ b/internal/distribute/event.go
@@ -8,17 +8,17 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// ErrCompacted means that the platform no longer has the deltas asked for. A
-// Platform returns it from Since; the state machine then reads a snapshot.
+// ErrCompacted means that the platform no longer has the requested deltas. A Platform returns it
+// from Since; the state machine then reads a snapshot.
 var ErrCompacted = errors.New("distribute: the deltas were compacted away")
 
-// ErrOrphaned ends a Runner whose node is to be started again; see State.Orphaned.
+// ErrOrphaned ends a Runner whose node has to be restarted; see State.Orphaned.
 var ErrOrphaned = errors.New("distribute: neither the peers nor the platform have the history held here")
 
 // ErrBadAnswer marks an answer that could not be decoded or verified.
 var ErrBadAnswer = errors.New("distribute: the answer could not be verified")
 
-// BusyError is a peer's refusal to serve a pull now.
+// BusyError is a peer's temporary refusal to serve a pull.
 type BusyError struct{ RetryAfter time.Duration }
 
 func (e *BusyError) Error() string {
@@ -28,7 +28,7 @@
 // Event is one input of the state machine.
 type Event interface{ event() }
 
-// Tick lets time pass. It is due several times a second.
+// Tick advances the time. It is sent several times a second.
 type Tick struct{}
 
 // HeadRead is the outcome of ReadHead.
@@ -44,22 +44,22 @@
 	Err      error
 }
 
-// VersionReceived tells of the version that any message of a peer carried. Deltas is set
-// when the message was a tell that carried them.
+// VersionReceived carries the version of a peer's message. Deltas is set when the message was a
+// push that included them.
 type VersionReceived struct {
 	Peer    string
 	Version config.Version
 	// InForce is the number of the version in force at the peer.
 	InForce uint64
-	// Pushed is set when the message was sent to tell the version, rather than
-	// for membership.
+	// Pushed is set when the message was a push rather than a membership message.
 	Pushed bool
 	Deltas []*config.Delta
-	// Confirmed is how far the platform bears Version out as the newest.
+	// Confirmed is the sender's confirmation that Version is the newest.
 	Confirmed Confirmation
 }
 
-// Answer is a peer's answer to Pull or Query.
+// Answer is a peer's answer to Pull or Query. YouHeld is the highest version number that the peer
+// saw in force at the requesting node.
 type Answer struct {
 	Version      config.Version
 	Deltas       []*config.Delta
@@ -67,7 +67,7 @@
 	YouHeld      uint64
 	Ready        bool
 	OtherHistory bool
-	// KnowsHeld says that the asker's Held is in the peer's history.
+	// KnowsHeld reports that the requester's Held is in the peer's history.
 	KnowsHeld bool
 }
 
@@ -92,10 +92,10 @@
 	Err     error
 }
 
-// Accepted tells of a change that this node committed itself.
+// Accepted is a change that this node committed itself.
 type Accepted struct{ Delta *config.Delta }
 
-// Offered is the outcome of Offer: err is why the version is not in force.
+// Offered is the outcome of Offer: Err is the reason why the version is not in force.
 type Offered struct {
 	Version config.Version
 	Err     error
@@ -114,48 +114,44 @@
 // Action is one output of the state machine.
 type Action interface{ action() }
 
-// ReadHead asks the platform for its head; answered by HeadRead.
+// ReadHead reads the platform's head; HeadRead is the outcome.
 type ReadHead struct{}
 
-// ReadSince asks the platform for the deltas after Version; answered by
-// PlatformRead.
+// ReadSince reads the platform's deltas after Version; PlatformRead is the outcome.
 type ReadSince struct{ Version config.Version }
 
-// ReadSnapshot asks the platform for a whole snapshot; answered by
-// PlatformRead.
+// ReadSnapshot reads a whole snapshot from the platform; PlatformRead is the outcome.
 type ReadSnapshot struct{ Version config.Version }
 
-// Pull asks a peer for what follows Version, and whether it has Held in its
-// history; answered by Pulled.
+// Pull requests what follows Version from a peer, and whether Held is in the peer's history; Pulled
+// is the outcome.
 type Pull struct {
 	Peer    string
 	Version config.Version
 	Held    config.Version
 }
 
-// Query asks a peer for its version and for what it saw this node hold; answered
-// by Queried.
+// Query requests a peer's version and the version it saw in force at this node; Queried is the
+// outcome.
 type Query struct {
 	Peer    string
 	Version config.Version
 }
 
-// Push sends Version to the peers, with Deltas if there are any; answered by
-// one PushDone for each peer.
+// Push sends Version to the peers, with Deltas if there are any; each peer results in one PushDone.
 type Push struct {
 	Peers   []string
 	Version config.Version
 	Deltas  []*config.Delta
 }
 
-// Offer hands a verified snapshot to the node's config.Store; answered by
-// Offered.
+// Offer passes a verified snapshot to the node's config.Store; Offered is the outcome.
 type Offer struct{ Snapshot *config.Snapshot }
 
-// FallbackRead hands on why a node that is no feeder reads the platform.
+// FallbackRead reports why a node that is not a feeder reads the platform.
 type FallbackRead struct{ Finding *ConfirmationOverdue }
 
-// Report hands a finding to the log, the metrics and the handover.
+// Report passes a finding to the log, the metrics and the handover.
 type Report struct{ Finding Finding }
 
 func (ReadHead) action()     {}
--- a/internal/distribute/feed.go
+++ b/internal/distribute/feed.go
@@ -9,185 +9,184 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// feeding is what the node knows of the platform.
-type feeding struct {
-	busy     bool // a read is in flight
-	after    time.Time
-	fails    int
-	heldThen uint64         // number held when ReadHead went out
-	head     config.Version // newest head that the platform answered
-	older    int            // heads older than that answered in a row since
-	answered bool           // the platform's last answer fits the history held
-	catchUp  time.Time      // when to read what head has more, or zero
-	other    otherHead
-
-	askedAt    time.Time      // when the last ReadHead went out
-	answeredAt time.Time      // when the last one that was answered went out
-	answer     config.Version // its answer
-	current    bool           // answer came, and is no older than what was held then
-
-	// The role, for the view it was worked out from.
-	view   *membership.View
-	feeder bool
-	unsure bool // most of the data centre's nodes are suspect
-	// rank is the node's place among so many that may be feeders.
-	rank, among int
-
-	// standIn says that the read in flight is one in place of the feeders, standInAt how long to leave
-	// the platform alone after one that failed, and reported that one was reported.
-	standIn   bool
-	standInAt time.Time
-	reported  bool
+// platformFeed tracks this node's reads of the platform.
+type platformFeed struct {
+	reading    bool // a read is in flight
+	nextReadAt time.Time
+	failures   int
+	heldAtRead uint64         // number held when ReadHead was sent
+	head       config.Version // newest head read from the platform
+	olderInRow int            // older heads read in a row since head
+	answered   bool           // the last answer fits the history held
+	logReadAt  time.Time      // when to read the log up to head, or zero
+	foreign    foreignHead
+
+	sentAt         time.Time      // when the last ReadHead was sent
+	answeredSentAt time.Time      // when the last answered ReadHead was sent
+	answeredHead   config.Version // the head in that answer
+	headCurrent    bool           // answeredHead is no older than the version held at the time
+
+	// The role, and the view from which it was derived.
+	view        *membership.View
+	feeder      bool
+	mostSuspect bool // most of the data centre's nodes are suspect
+	// rank is the node's rank among the candidates for feeder.
+	rank, candidates int
+
+	// fallback marks the read in flight as a fallback read, fallbackAfter is the earliest time of
+	// the next one after a failure, and fallbackReported is set once one has been reported.
+	fallback         bool
+	fallbackAfter    time.Time
+	fallbackReported bool
 }
 
-// otherHead is a head of the platform whose log showed that it is of another history than the version
-// held then. The log is not read again for it.
-type otherHead struct{ head, held config.Version }
+// foreignHead is a platform head whose log showed that it belongs to another history than the
+// version held at the time. The log is not read again for it.
+type foreignHead struct{ head, held config.Version }
 
-// freshSnapshotAfter is the number of versions above which a node that holds
-// nothing reads a snapshot from the platform rather than the deltas.
-const freshSnapshotAfter = 16
+// snapshotThreshold is the number of versions above which a node that holds nothing reads a
+// snapshot from the platform rather than the deltas.
+const snapshotThreshold = 16
 
-// olderHeads is how many older heads in a row the platform has to answer before
-// the newest one known is given up. One may be a stale read.
-const olderHeads = 3
+// maxOlderHeads is how many older heads in a row the platform has to return before the newest known
+// head is discarded. A single one may be a stale read.
+const maxOlderHeads = 3
 
-// A starting node that has peers reads the platform's head no earlier than
-// startReadAfter, plus a random part of startReadWithin. In a storm nearly all
-// learn what they need from peers before that, and the platform is spared.
+// A starting node that has peers first reads the platform's head after startReadDelay plus a random
+// part of startReadJitter. When many nodes start at once, most get the version from peers before
+// that, which spares the platform.
 const (
-	startReadAfter  = time.Second
-	startReadWithin = 4 * time.Second
+	startReadDelay  = time.Second
+	startReadJitter = 4 * time.Second
 )
 
 // Feeder reports whether this node reads the platform's head on a timer.
 func (s *State) Feeder() bool { return s.feed.feeder }
 
-func (s *State) scheduleFeed() {
+func (s *State) schedulePlatformRead() {
 	f := &s.feed
-	if !s.ticked && s.others() == 0 {
-		// The answer to a join tells a version before it has told the members.
-		// A starting node would take itself to be alone then, and a feeder, and
-		// read the platform at once, as would each node of a herd.
+	if !s.ticked && s.livePeers() == 0 {
+		// The answer to a join carries a version before it carries the members. Until then a
+		// starting node would consider itself the only node, thus a feeder, and read the platform
+		// at once; when many nodes start together, each would do so.
 		return
 	}
 	if f.view != s.view || s.view == nil {
-		s.takeRole()
+		s.updateRole()
 	}
-	if f.after.IsZero() {
-		f.after = s.now.Add(s.firstRead())
+	if f.nextReadAt.IsZero() {
+		f.nextReadAt = s.now.Add(s.firstReadDelay())
 	}
-	if !f.catchUp.IsZero() && !f.busy && !s.now.Before(f.catchUp) {
-		f.catchUp = time.Time{}
+	if !f.logReadAt.IsZero() && !f.reading && !s.now.Before(f.logReadAt) {
+		f.logReadAt = time.Time{}
 		if f.head.Newer(s.Version()) {
 			s.readSince(f.head)
 		}
 	}
-	if f.busy {
+	if f.reading {
 		return
 	}
 	switch {
 	case s.readDue():
 		s.readHead(false)
-	case s.overdue():
-		s.noteStandIn(s.confirmed.Reader == s.set.Self)
+	case s.fallbackReadDue():
+		s.reportFallbackRead(s.confirmed.Reader == s.set.Self)
 		s.readHead(true)
 	}
 }
 
-// readDue reports whether a node that reads the head on a timer has to read it now. A feeder that
-// hears nobody reads for itself alone, and no more often than any other node that is cut off.
+// readDue reports whether a node that reads the head on a timer has to read it now. An isolated
+// feeder reads for itself alone, no more often than any other isolated node.
 func (s *State) readDue() bool {
 	f := &s.feed
-	starting := !s.start.done || s.jump != nil
-	if !starting && (!f.feeder || s.alone() && s.now.Sub(f.askedAt) < s.readsAloneEvery()) {
+	starting := !s.startup.done || s.pending != nil
+	if !starting && (!f.feeder || s.isolated() && s.now.Sub(f.sentAt) < s.isolatedReadInterval()) {
 		return false
 	}
-	return !s.now.Before(f.after)
+	return !s.now.Before(f.nextReadAt)
 }
 
-func (s *State) readHead(standIn bool) {
+func (s *State) readHead(fallback bool) {
 	f := &s.feed
-	f.busy, f.standIn, f.current = true, standIn, false
-	f.askedAt = s.now
-	f.heldThen = s.Version().Number
+	f.reading, f.fallback, f.headCurrent = true, fallback, false
+	f.sentAt = s.now
+	f.heldAtRead = s.Version().Number
 	s.emit(ReadHead{})
 }
 
-// takeRole works out whether this node is a feeder.
-func (s *State) takeRole() {
+// updateRole determines whether this node is a feeder.
+func (s *State) updateRole() {
 	f := &s.feed
 	f.view = s.view
 	var ids []string
-	ids, f.unsure = feederChoice(s.view, s.set.Self, s.set.DataCentre)
-	f.rank, f.among = slices.Index(ranked("feeder/"+s.set.DataCentre+"/", ids), s.set.Self), len(ids)
+	ids, f.mostSuspect = feederCandidates(s.view, s.set.Self, s.set.DataCentre)
+	f.rank, f.candidates = slices.Index(ranked("feeder/"+s.set.DataCentre+"/", ids), s.set.Self), len(ids)
 	f.feeder = f.rank < feedersPerDC
 }
 
-// firstRead returns how long to wait before the first read of the head.
-func (s *State) firstRead() time.Duration {
-	if s.feed.feeder || s.others() == 0 {
+// firstReadDelay returns how long to wait before the first read of the head.
+func (s *State) firstReadDelay() time.Duration {
+	if s.feed.feeder || s.livePeers() == 0 {
 		return 0
 	}
-	return startReadAfter + s.jitter(startReadWithin)
+	return startReadDelay + s.jitter(startReadJitter)
 }
 
 func (s *State) headRead(e HeadRead) {
 	f := &s.feed
-	f.busy = false
+	f.reading = false
 	if e.Err != nil {
 		s.readFailed()
 		return
 	}
-	f.fails = 0
-	f.after = s.now.Add(s.set.Profile.HeadInterval)
+	f.failures = 0
+	f.nextReadAt = s.now.Add(s.set.Profile.HeadInterval)
 	f.answered = s.chain.relation(e.Version) != relationOther
-	f.answeredAt = f.askedAt
-	f.answer, f.current = e.Version, e.Version.Number >= f.heldThen
-	f.noteHead(e.Version)
+	f.answeredSentAt = f.sentAt
+	f.answeredHead, f.headCurrent = e.Version, e.Version.Number >= f.heldAtRead
+	f.recordHead(e.Version)
 	switch {
 	case s.chain.relation(e.Version) == relationOther:
-		s.conflict(SourcePlatform, e.Version)
-	case s.start.done && f.other == otherHead{e.Version, s.Version()}:
+		s.recordConflict(SourcePlatform, e.Version)
+	case s.startup.done && f.foreign == foreignHead{e.Version, s.Version()}:
 		// Reported when its log was read.
-	case e.Version.Newer(s.Version()) && f.standIn:
-		s.noteStandIn(true)
+	case e.Version.Newer(s.Version()) && f.fallback:
+		s.reportFallbackRead(true)
 		s.readSince(e.Version)
-	case e.Version.Newer(s.Version()) && s.start.done && !s.alone():
-		// The accepting node is most likely telling it right now. Without the
-		// wait, every feeder would read it too, and tell it once more.
-		f.catchUp = s.now.Add(s.set.Profile.PullDelay / 2)
+	case e.Version.Newer(s.Version()) && s.startup.done && !s.isolated():
+		// The accepting node is probably pushing this version already. Without the delay every
+		// feeder would read it as well and push it again.
+		f.logReadAt = s.now.Add(s.set.Profile.PullDelay / 2)
 	case e.Version.Newer(s.Version()):
 		s.readSince(e.Version)
-	case e.Version.Number < f.heldThen:
+	case e.Version.Number < f.heldAtRead:
 		s.report(&StaleHead{Held: s.Version(), Seen: e.Version}, SourcePlatform, e.Version)
 	}
 }
 
-// noteHead keeps the newest head, so that a stale read does not undo what a
-// later version showed. A head that the platform no longer has, as that of a
-// table that was restored by mistake and replaced since, would hold a starting
-// node back for good; it shows as older heads time after time.
-func (f *feeding) noteHead(v config.Version) {
-	f.older++
-	if v.Newer(f.head) || f.older >= olderHeads {
+// recordHead keeps the newest head, so that a stale read does not hide a version seen before. A
+// head that the platform no longer has, such as that of a table restored by mistake and since
+// replaced, would block a starting node for good; it is detected by several older heads in a row.
+func (f *platformFeed) recordHead(v config.Version) {
+	f.olderInRow++
+	if v.Newer(f.head) || f.olderInRow >= maxOlderHeads {
 		f.head = v
 	}
 	if !f.head.Newer(v) {
-		f.older = 0
+		f.olderInRow = 0
 	}
 }
 
-// readSince reads what the platform has and this node has not.
+// readSince reads the versions up to head that this node lacks from the platform.
 func (s *State) readSince(head config.Version) {
-	if j := s.jump; j != nil && j.snapshot.Version() == head {
-		j.witnessed = true
-		if s.tryJump() || j.from == SourcePlatform {
+	if ps := s.pending; ps != nil && ps.snapshot.Version() == head {
+		ps.witnessed = true
+		if s.applyPendingIfProven() || ps.source == SourcePlatform {
 			return
 		}
 	}
-	s.feed.busy = true
-	if s.Version().Number == 0 && head.Number > freshSnapshotAfter {
+	s.feed.reading = true
+	if s.Version().Number == 0 && head.Number > snapshotThreshold {
 		s.emit(ReadSnapshot{head})
 		return
 	}
@@ -196,59 +195,60 @@
 
 func (s *State) readFailed() {
 	f := &s.feed
-	f.fails++
+	f.failures++
 	limit := 4 * s.set.RetryCap
 	if f.feeder {
-		// A data centre that was cut off from all others hears of the changes
-		// since then by its feeders alone, and there are only two of them.
+		// A partitioned data centre learns of changes through its feeders alone, and there are only
+		// two.
 		limit = s.set.RetryCap
 	}
-	wait := min(s.set.Profile.HeadInterval<<min(f.fails, maxShift), limit)
-	f.after = s.now.Add(s.jitter(wait))
-	f.answeredAt = time.Time{} // a log that could not be read is asked for again soon
-	// Half of the wait is sure, so that a mesh without its platform asks for it seldom.
-	wait = min(s.set.RetryCap<<min(f.fails-1, maxShift), confirmWithin) / 2
-	f.standInAt = s.now.Add(wait + s.jitter(wait))
+	wait := min(s.set.Profile.HeadInterval<<min(f.failures, maxShift), limit)
+	f.nextReadAt = s.now.Add(s.jitter(wait))
+	f.answeredSentAt = time.Time{} // retry soon when the log could not be read
+	// Half of the wait is fixed, so that the reads of a whole mesh stay rare while the platform is
+	// down.
+	wait = min(s.set.RetryCap<<min(f.failures-1, maxShift), confirmWithin) / 2
+	f.fallbackAfter = s.now.Add(wait + s.jitter(wait))
 }
 
 func (s *State) platformRead(e PlatformRead) {
 	f := &s.feed
-	f.busy = false
+	f.reading = false
 	switch {
 	case errors.Is(e.Err, ErrCompacted):
-		f.busy = true
+		f.reading = true
 		s.emit(ReadSnapshot{f.head})
 	case e.Err != nil:
 		s.readFailed()
 	case e.Snapshot != nil:
-		s.platformJump(e.Snapshot)
+		s.receivePlatformSnapshot(e.Snapshot)
 	default:
-		s.readOn(e.Deltas)
+		s.applyPlatformDeltas(e.Deltas)
 	}
 }
 
-// readOn applies deltas from the platform, and reads the next ones at once if
-// these did not lead to the head: a platform may answer a long log in parts.
-func (s *State) readOn(ds []*config.Delta) {
+// applyPlatformDeltas applies deltas from the platform. If they did not reach the head, it reads
+// the next ones at once: the platform may return a long log in parts.
+func (s *State) applyPlatformDeltas(ds []*config.Delta) {
 	from := s.Version()
 	ok := s.applyDeltas(SourcePlatform, ds)
 	if !ok {
-		s.noteOtherHead(ds)
-		// The log does not lead from what is held to that head. Kept as the
-		// newest one known, it would hold a starting node back for good.
+		s.recordForeignHead(ds)
+		// The log does not lead from the version held to that head. Kept as the newest known head,
+		// it would block a starting node for good.
 		s.feed.head, s.feed.answered = config.Version{}, false
 		return
 	}
 	if s.Version() != from && s.feed.head.Newer(s.Version()) {
-		s.feed.busy = true
+		s.feed.reading = true
 		s.emit(ReadSince{s.Version()})
 	}
 }
 
-// noteOtherHead keeps the head whose log is of another history than the version held.
-func (s *State) noteOtherHead(ds []*config.Delta) {
+// recordForeignHead records the head if its log belongs to another history than the version held.
+func (s *State) recordForeignHead(ds []*config.Delta) {
 	held := s.Version()
 	if slices.ContainsFunc(ds, func(d *config.Delta) bool { return d.From.Number == held.Number && d.From != held }) {
-		s.feed.other = otherHead{s.feed.head, held}
+		s.feed.foreign = foreignHead{s.feed.head, held}
 	}
 }
--- a/internal/distribute/feeder_test.go
+++ b/internal/distribute/feeder_test.go
@@ -9,8 +9,7 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// suspectView is what a node sees that hears from alive alone of its data
-// centre's nodes.
+// suspectView is the view of a node that receives messages only from alive in its data centre.
 func (m *mesh) suspectView(n *node, alive ...string) *membership.View {
 	v := &membership.View{Self: n.id, Records: make(map[string]*membership.Seen)}
 	for _, p := range m.nodes {
@@ -28,24 +27,23 @@
 	return v
 }
 
-// What an operator would see: the network between the nodes fails, but not that
-// to the platform, and the platform gets as many reads a second as there are
-// nodes on top. Each node suspected all others and took itself for the only one
-// of its data centre, so for a feeder.
-func TestSuspectNeighboursDoNotMakeAFeeder(t *testing.T) {
+// Guards the platform against one read a second from every node when the network between nodes
+// fails but the platform stays reachable. Each node suspected all others and considered itself the
+// only candidate for feeder.
+func TestSuspectNeighboursDoNotPromoteFeeders(t *testing.T) {
 	const dcs, seconds = 5, 30
 	for _, n := range []int{60, 240} {
 		reads := readsWhenAllSuspect(n, dcs, seconds)
 		t.Logf("%d nodes: %d reads in %d s", n, reads, seconds)
-		// Two feeders a data centre, and the others together about as one.
+		// Two feeders per data centre, and the others together about one more.
 		if most := 4 * dcs * seconds; reads > most {
 			t.Errorf("%d nodes: %d reads in %d s, over %d", n, reads, seconds, most)
 		}
 	}
 }
 
-// BenchmarkSuspect shows the platform's reads when every node suspects all
-// others, by fleet size.
+// BenchmarkSuspect measures the platform's reads when every node suspects all others, by fleet
+// size.
 func BenchmarkSuspect(b *testing.B) {
 	const seconds = 30
 	for _, n := range []int{60, 240, 1200} {
@@ -59,9 +57,9 @@
 
 func readsWhenAllSuspect(n, dcs, seconds int) int {
 	m := newMesh(n, dcs, 3, func(id, dc string) Settings { return Defaults(id, dc, TimeProfile()) })
-	m.change(nil)
+	m.commitChange(nil)
 	m.run(20 * time.Second)
-	m.cut = func(a, b string) bool { return true }
+	m.partitioned = func(a, b string) bool { return true }
 	for _, v := range m.nodes {
 		m.views[v.id] = m.suspectView(v)
 	}
@@ -70,11 +68,11 @@
 	return m.reads
 }
 
-// A data centre whose chosen feeders are really gone, with most of its nodes,
-// while it is cut off from the others, must learn of a change all the same.
-func TestDataCentreWithoutItsFeedersLearns(t *testing.T) {
+// Guards a partitioned data centre against missing a change when its feeders, and most of its other
+// nodes, are down.
+func TestDataCentreWithoutFeedersCatchesUp(t *testing.T) {
 	m := newMesh(30, 1, 4, func(id, dc string) Settings { return Defaults(id, dc, TimeProfile()) })
-	m.change(nil)
+	m.commitChange(nil)
 	m.run(20 * time.Second)
 	order := ranked("feeder/dc0/", m.ids)
 	lost, left := order[:20], order[20:]
@@ -87,12 +85,12 @@
 	m.run(time.Second)
 	for _, id := range left {
 		if m.nodes[id].state.Feeder() {
-			t.Fatal(fmt.Sprint(id, " is a feeder, though two come before it"))
+			t.Fatal(fmt.Sprint(id, " is a feeder, though two nodes rank before it"))
 		}
 	}
-	m.change(nil)
+	m.commitChange(nil)
 	m.run(30 * time.Second)
-	if m.fault != "" || !m.converged() {
-		t.Fatal(m.fault, describe(m))
+	if m.violation != "" || !m.converged() {
+		t.Fatal(m.violation, describe(m))
 	}
 }
--- a/internal/distribute/finding.go
+++ b/internal/distribute/finding.go
@@ -7,20 +7,19 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// SourcePlatform names the platform as the source of a Finding. It cannot be
-// a VM's ID.
+// SourcePlatform names the platform as the source of a Finding. It cannot be a VM's ID.
 const SourcePlatform = "(platform)"
 
-// Finding is something that an operator should know: a *Conflict, a *StaleHead,
-// a *BadPeer, an *UnverifiedSnapshot or a *ConfirmationOverdue.
+// Finding is a condition to report to operators: a *Conflict, a *StaleHead, a *BadPeer, an
+// *UnverifiedSnapshot or a *ConfirmationOverdue.
 type Finding interface {
 	error
-	// Kind is a short name for metrics.
+	// Kind returns a short name for metrics.
 	Kind() string
 }
 
-// Conflict tells of a version that belongs to another history than the one
-// held, as after the platform was restored from a backup. It is not followed.
+// Conflict reports a version of another history than the one held, for example after the platform
+// was restored from a backup. The version is not applied.
 type Conflict struct {
 	Source string
 	Held   config.Version
@@ -36,8 +35,7 @@
 // Kind implements Finding.
 func (c *Conflict) Kind() string { return "conflict" }
 
-// StaleHead tells that the platform answered an older head than the version
-// held. It is ignored.
+// StaleHead reports that the platform returned a head older than the version held. It is ignored.
 type StaleHead struct {
 	Held config.Version
 	Seen config.Version
@@ -51,7 +49,7 @@
 // Kind implements Finding.
 func (s *StaleHead) Kind() string { return "stale_head" }
 
-// BadPeer tells of a peer whose answer did not verify.
+// BadPeer reports a peer whose answer failed verification.
 type BadPeer struct {
 	Peer string
 	Err  error
@@ -59,34 +57,34 @@
 
 func (b *BadPeer) Error() string { return "distribute: peer " + b.Peer + ": " + b.Err.Error() }
 
-// Unwrap returns why the answer was refused.
+// Unwrap returns why the answer was rejected.
 func (b *BadPeer) Unwrap() error { return b.Err }
 
 // Kind implements Finding.
 func (b *BadPeer) Kind() string { return "bad_peer" }
 
-// UnverifiedSnapshot tells of a snapshot that was dropped because no other peer knew
-// its version, or nobody showed that it descends from the version held. Its
-// sender may be ahead of all, have another history, or have made it up.
+// UnverifiedSnapshot reports a snapshot that was dropped because no other peer knew its version, or
+// none showed that it descends from the version held. Its sender may be ahead of all other nodes,
+// have another history, or have forged it.
 type UnverifiedSnapshot struct {
 	Peer    string
 	Version config.Version
 }
 
 func (u *UnverifiedSnapshot) Error() string {
-	return fmt.Sprintf("distribute: nobody confirms that version %d (%s) of %s follows the one held",
+	return fmt.Sprintf("distribute: no other source confirms that version %d (%s) of %s descends from the one held",
 		u.Version.Number, u.Version.Hash.Short(), u.Peer)
 }
 
 // Kind implements Finding.
 func (u *UnverifiedSnapshot) Kind() string { return "unconfirmed" }
 
-// ConfirmationOverdue tells that neither the feeders nor anybody else has confirmed the version held for
-// so long that this node, which is no feeder, reads the platform itself.
+// ConfirmationOverdue reports that neither the feeders nor other nodes have confirmed the version
+// held for so long that this node, which is not a feeder, reads the platform itself.
 type ConfirmationOverdue struct {
 	Held config.Version
 	Age  time.Duration
-	// Reader is the node that the platform answered last, as far as is known here.
+	// Reader is the last node known to have read the platform, or empty.
 	Reader string
 }
 
--- a/internal/distribute/harness_platform_test.go
+++ b/internal/distribute/harness_platform_test.go
@@ -9,36 +9,36 @@
 
 const platformLatency = 5 * time.Millisecond
 
-func (m *mesh) platform(n *node, a Action) {
+func (m *mesh) readPlatform(n *node, a Action) {
 	m.reads++
-	life := n.life
+	generation := n.generation
 	reply := func(ev Event) {
 		m.after(platformLatency, func() {
-			if n.up && n.life == life {
+			if n.up && n.generation == generation {
 				m.step(n, ev)
 			}
 		})
 	}
-	if m.silent != nil && m.silent(n) {
+	if m.platformSilent != nil && m.platformSilent(n) {
 		m.after(platformTimeout, func() { reply(lostRead(a)) })
 		return
 	}
 	switch a := a.(type) {
 	case ReadHead:
-		if m.down {
+		if m.platformDown {
 			reply(HeadRead{Err: errLost})
 			return
 		}
 		reply(HeadRead{Version: m.platformHead()})
 	case ReadSince:
-		if m.down {
+		if m.platformDown {
 			reply(PlatformRead{Err: errLost})
 			return
 		}
 		from := min(int(a.Version.Number), len(m.log))
 		reply(PlatformRead{Deltas: m.log[from:]})
 	case ReadSnapshot:
-		if m.down {
+		if m.platformDown {
 			reply(PlatformRead{Err: errLost})
 			return
 		}
@@ -46,7 +46,7 @@
 	}
 }
 
-// lostRead is what a read ends with that got no answer.
+// lostRead returns the outcome of a read that got no answer.
 func lostRead(a Action) Event {
 	if _, head := a.(ReadHead); head {
 		return HeadRead{Err: errLost}
@@ -62,31 +62,32 @@
 	return m.log[i-1].To
 }
 
-// offer puts a snapshot in force and checks the promises.
+// offer puts a snapshot in force and checks the invariants: no older version, and none that is not
+// in the log.
 func (m *mesh) offer(n *node, s *config.Snapshot) {
 	v := s.Version()
 	if v.Number <= n.offered.Number {
-		m.fault = fmt.Sprintf("%s was offered version %d after %d", n.id, v.Number, n.offered.Number)
+		m.violation = fmt.Sprintf("%s was offered version %d after %d", n.id, v.Number, n.offered.Number)
 	}
 	if int(v.Number) > len(m.log) || m.log[v.Number-1].To != v {
-		m.fault = fmt.Sprintf("%s was offered version %d (%s), which is not in the log", n.id, v.Number, v.Hash.Short())
+		m.violation = fmt.Sprintf("%s was offered version %d (%s), which is not in the log", n.id, v.Number, v.Hash.Short())
 	}
 	n.offered = v
-	if n.fail != nil {
-		if err := n.fail(s); err != nil {
+	if n.offerErr != nil {
+		if err := n.offerErr(s); err != nil {
 			m.step(n, Offered{Version: v, Err: err})
 			return
 		}
 	}
-	n.force[v.Number] = m.now
-	if m.random {
-		m.tellRandom(n, v)
+	n.inForceAt[v.Number] = m.now
+	if m.randomPush {
+		m.pushRandom(n, v)
 	}
 	m.step(n, Offered{Version: v})
 }
 
-// change commits the next version on the platform, as node n accepted it.
-func (m *mesh) change(n *node) *config.Delta {
+// commitChange commits the next version on the platform, accepted by node n.
+func (m *mesh) commitChange(n *node) *config.Delta {
 	i := len(m.log)
 	target := config.Target{
 		Name: fmt.Sprintf("class-%03d", i%100), Team: "berths", Service: "booking",
--- a/internal/distribute/harness_test.go
+++ b/internal/distribute/harness_test.go
@@ -21,61 +21,60 @@
 
 var errLost = errors.New("lost")
 
-// mesh joins several States with an event queue in virtual time. Messages can
-// be lost, doubled and delayed; nodes can die and come back empty.
+// mesh connects several States through an event queue in virtual time. Messages can be lost,
+// duplicated and delayed; nodes can die and restart without state.
 type mesh struct {
-	set     func(id, dc string) Settings
-	now     time.Time
-	rng     *rand.Rand
-	queue   agenda.Agenda
-	nodes   map[string]*node
-	ids     []string
-	view    *membership.View
-	views   map[string]*membership.View // of nodes that see less than view
-	log     []*config.Delta             // the platform's
-	head    *config.Snapshot
-	down    bool
-	silent  func(*node) bool // whom the platform leaves without an answer
-	headLag int              // versions by which the platform's answers are old
-	drop    func() bool
-	double  func() bool
-	extra   func() time.Duration
-	cut     func(a, b string) bool
-	fault   string // a broken promise
-	reads   int
-	bytes   int // of spreading alone
-	msgs    int
-	pulls   int
-	probe   time.Duration
-	random  bool // baseline: tell random nodes rather than the tree's
-	noStand bool // baseline: nobody stands in for a lost node
+	set            func(id, dc string) Settings
+	now            time.Time
+	rng            *rand.Rand
+	queue          agenda.Agenda
+	nodes          map[string]*node
+	ids            []string
+	view           *membership.View
+	views          map[string]*membership.View // of nodes with a smaller view
+	log            []*config.Delta             // of the platform
+	head           *config.Snapshot
+	platformDown   bool
+	platformSilent func(*node) bool // nodes that get no answer from the platform
+	headLag        int              // versions by which the platform's answers lag
+	drop           func() bool
+	duplicate      func() bool
+	extraDelay     func() time.Duration
+	partitioned    func(a, b string) bool
+	violation      string // a broken invariant
+	reads          int
+	bytes          int // of distribution alone
+	msgs           int
+	pulls          int
+	probeInterval  time.Duration
+	randomPush     bool // baseline: push to random nodes, not along the tree
+	noBypass       bool // baseline: unreachable nodes are not bypassed
 }
 
 type node struct {
-	id, dc  string
-	up      bool
-	life    int
-	state   *State
-	offered config.Version
-	force   map[uint64]time.Time
-	reports []Finding
-	// standIns are the reads in place of the feeders that were reported.
-	standIns []*ConfirmationOverdue
-	fail     func(*config.Snapshot) error
+	id, dc     string
+	up         bool
+	generation int
+	state      *State
+	offered    config.Version
+	inForceAt  map[uint64]time.Time
+	reports    []Finding
+	// fallbackReads are the fallback reads that were reported.
+	fallbackReads []*ConfirmationOverdue
+	offerErr      func(*config.Snapshot) error
 }
 
-// httpOverhead stands for what HTTP and TLS add to one exchange, both ways: of
-// the 383 bytes that BenchmarkExchange of internal/peer gives for one over
-// mutual TLS, its two envelopes take 136.
+// httpOverhead is the size that HTTP and TLS add to one exchange, both ways: of the 383 bytes that
+// BenchmarkExchange of internal/peer reports over mutual TLS, the two envelopes take 136.
 const httpOverhead = 383 - 136
 
 func newMesh(n, dcs int, seed uint64, set func(id, dc string) Settings) *mesh {
 	m := &mesh{
 		set: set, now: time.Unix(1_700_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)),
 		views: make(map[string]*membership.View),
-		nodes: make(map[string]*node), head: config.Empty(), probe: time.Second,
-		drop: func() bool { return false }, double: func() bool { return false },
-		extra: func() time.Duration { return 0 }, cut: func(a, b string) bool { return false },
+		nodes: make(map[string]*node), head: config.Empty(), probeInterval: time.Second,
+		drop: func() bool { return false }, duplicate: func() bool { return false },
+		extraDelay: func() time.Duration { return 0 }, partitioned: func(a, b string) bool { return false },
 	}
 	for i := range n {
 		id := fmt.Sprintf("vm%04d", i)
@@ -116,32 +115,32 @@
 
 func (m *mesh) startNode(id string) {
 	n := m.nodes[id]
-	n.up, n.life = true, n.life+1
+	n.up, n.generation = true, n.generation+1
 	n.state = New(m.set(id, n.dc), m.now)
-	n.offered, n.force, n.reports = config.Version{}, make(map[uint64]time.Time), nil
+	n.offered, n.inForceAt, n.reports = config.Version{}, make(map[uint64]time.Time), nil
 	m.refreshView()
-	life := n.life
+	generation := n.generation
 	var tick, probe func()
 	tick = func() {
-		if n.life == life && n.up {
+		if n.generation == generation && n.up {
 			m.step(n, Tick{})
-			m.after(tickEvery, tick)
+			m.after(tickInterval, tick)
 		}
 	}
 	probe = func() {
-		if n.life == life && n.up {
+		if n.generation == generation && n.up {
 			m.probeFrom(n)
-			m.after(m.probe, probe)
+			m.after(m.probeInterval, probe)
 		}
 	}
-	m.after(time.Duration(m.rng.Int64N(int64(tickEvery))), tick)
-	m.after(time.Duration(m.rng.Int64N(int64(m.probe))), probe)
+	m.after(time.Duration(m.rng.Int64N(int64(tickInterval))), tick)
+	m.after(time.Duration(m.rng.Int64N(int64(m.probeInterval))), probe)
 }
 
 func (m *mesh) kill(id string) { m.nodes[id].up = false }
 
-// probeFrom stands for the membership's probing: a random node of the own data
-// centre, and once in ten of any.
+// probeFrom simulates the membership's probing: a random node of the same data centre, and one time
+// in ten of any.
 func (m *mesh) probeFrom(n *node) {
 	for range 8 {
 		p := m.nodes[m.ids[m.rng.IntN(len(m.ids))]]
@@ -162,19 +161,19 @@
 	return 60 * time.Millisecond
 }
 
-// send delivers f at b unless it is lost; it may be doubled.
+// send runs f at b after the latency, unless the message is lost; it may be duplicated.
 func (m *mesh) send(a, b *node, f func()) bool {
-	if m.drop() || m.cut(a.id, b.id) {
+	if m.drop() || m.partitioned(a.id, b.id) {
 		return false
 	}
-	life := b.life
+	generation := b.generation
 	n := 1
-	if m.double() {
+	if m.duplicate() {
 		n = 2
 	}
 	for range n {
-		m.after(m.latency(a, b)+m.extra(), func() {
-			if b.up && b.life == life {
+		m.after(m.latency(a, b)+m.extraDelay(), func() {
+			if b.up && b.generation == generation {
 				f()
 			}
 		})
@@ -182,14 +181,14 @@
 	return b.up
 }
 
-func (m *mesh) exchange(a, b *node, ds []*config.Delta, tell bool, done func(error)) {
-	aHeld, aForce, aConfirmed := a.state.Version(), a.state.InForce(), m.confirmed(a)
-	life := a.life
+func (m *mesh) exchange(a, b *node, ds []*config.Delta, pushed bool, done func(error)) {
+	aHeld, aInForce, aConfirmed := a.state.Version(), a.state.InForce(), m.confirmed(a)
+	generation := a.generation
 	ok := m.send(a, b, func() {
-		m.step(b, VersionReceived{Peer: a.id, Version: aHeld, InForce: aForce, Pushed: tell, Deltas: ds, Confirmed: aConfirmed})
+		m.step(b, VersionReceived{Peer: a.id, Version: aHeld, InForce: aInForce, Pushed: pushed, Deltas: ds, Confirmed: aConfirmed})
 		v, f, c := b.state.Version(), b.state.InForce(), m.confirmed(b)
 		m.send(b, a, func() {
-			if a.life != life {
+			if a.generation != generation {
 				return
 			}
 			m.step(a, VersionReceived{Peer: b.id, Version: v, InForce: f, Confirmed: c})
@@ -198,23 +197,23 @@
 	})
 	if !ok {
 		m.after(time.Second, func() {
-			if a.up && a.life == life {
+			if a.up && a.generation == generation {
 				done(errLost)
 			}
 		})
 	}
 }
 
-// confirmed is what a message of n says of its version.
+// confirmed returns the confirmation in a message of n.
 func (m *mesh) confirmed(n *node) Confirmation {
 	return ConfirmationFromProto(m.now, n.state.confirmed.Proto(m.now))
 }
 
-func (m *mesh) ask(a, b *node, v, held config.Version, headOnly bool, done func(Answer, error)) {
-	life := a.life
+func (m *mesh) pull(a, b *node, v, held config.Version, headOnly bool, done func(Answer, error)) {
+	generation := a.generation
 	finished := false
 	finish := func(ans Answer, err error) {
-		if !finished && a.up && a.life == life {
+		if !finished && a.up && a.generation == generation {
 			finished = true
 			done(ans, err)
 		}
@@ -242,7 +241,7 @@
 	}
 }
 
-// step feeds one event to a node and carries out its actions.
+// step passes one event to a node and performs its actions.
 func (m *mesh) step(n *node, ev Event) {
 	view := m.view
 	if v := m.views[n.id]; v != nil {
@@ -260,31 +259,31 @@
 	case Report:
 		n.reports = append(n.reports, a.Finding)
 	case FallbackRead:
-		n.standIns = append(n.standIns, a.Finding)
+		n.fallbackReads = append(n.fallbackReads, a.Finding)
 	case Push:
-		m.tell(n, a)
+		m.push(n, a)
 	case Pull:
 		m.pulls++
-		m.ask(n, m.nodes[a.Peer], a.Version, a.Held, false, func(ans Answer, err error) {
+		m.pull(n, m.nodes[a.Peer], a.Version, a.Held, false, func(ans Answer, err error) {
 			m.step(n, Pulled{Peer: a.Peer, Answer: ans, Err: err})
 		})
 	case Query:
-		m.ask(n, m.nodes[a.Peer], a.Version, a.Version, true, func(ans Answer, err error) {
+		m.pull(n, m.nodes[a.Peer], a.Version, a.Version, true, func(ans Answer, err error) {
 			m.step(n, Queried{Peer: a.Peer, Answer: ans, Err: err})
 		})
 	default:
-		m.platform(n, a)
+		m.readPlatform(n, a)
 	}
 }
 
-func (m *mesh) tell(n *node, a Push) {
-	if m.random { // keep the bridges alone
+func (m *mesh) push(n *node, a Push) {
+	if m.randomPush { // keep only the pushes between data centres
 		a.Peers = slices.DeleteFunc(a.Peers, func(p string) bool { return m.nodes[p].dc == n.dc })
 	}
-	m.sendTells(n, a)
+	m.sendPushes(n, a)
 }
 
-func (m *mesh) sendTells(n *node, a Push) {
+func (m *mesh) sendPushes(n *node, a Push) {
 	packed, err := Pack(a.Deltas, nil)
 	if err != nil {
 		panic(err)
@@ -293,7 +292,7 @@
 		m.count(envelope(n, a.Version, packed), httpOverhead)
 		m.count(envelope(m.nodes[p], a.Version, nil), 0)
 		m.exchange(n, m.nodes[p], a.Deltas, true, func(err error) {
-			if err == nil || !m.noStand {
+			if err == nil || !m.noBypass {
 				m.step(n, PushDone{Peer: p, Version: a.Version, Err: err})
 			}
 		})
@@ -307,9 +306,9 @@
 	}
 }
 
-// tellRandom is the baseline of the tree: every node that learned of a version
-// tells FanOut random nodes of its data centre.
-func (m *mesh) tellRandom(n *node, v config.Version) {
+// pushRandom is the baseline for the tree: every node that gets a version pushes to FanOut random
+// nodes of its data centre.
+func (m *mesh) pushRandom(n *node, v config.Version) {
 	var own []string
 	for _, p := range m.ids {
 		if m.nodes[p].dc == n.dc && p != n.id {
@@ -318,10 +317,10 @@
 	}
 	m.rng.Shuffle(len(own), func(i, j int) { own[i], own[j] = own[j], own[i] })
 	own = own[:min(n.state.set.Profile.FanOut, len(own))]
-	m.sendTells(n, Push{Peers: own, Version: v, Deltas: m.log[v.Number-1 : v.Number]})
+	m.sendPushes(n, Push{Peers: own, Version: v, Deltas: m.log[v.Number-1 : v.Number]})
 }
 
-// converged reports whether every live node holds the platform's newest.
+// converged reports whether every live node holds the platform's newest version.
 func (m *mesh) converged() bool {
 	for _, n := range m.nodes {
 		if n.up && n.state.Version() != m.head.Version() {
--- a/internal/distribute/perform.go
+++ b/internal/distribute/perform.go
@@ -10,12 +10,11 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// errUnlisted means that a peer left the membership before it was sent to.
-var errUnlisted = errors.New("distribute: the peer is not in the membership")
+// errNotMember means that a peer left the membership before the request was sent.
+var errNotMember = errors.New("distribute: the peer is not in the membership")
 
-// perform carries out one action. The state allows one read, one pull and a
-// few asks in flight; tells are bounded by a semaphore, so goroutines are
-// bounded too.
+// perform starts one action. The state allows one read, one pull and a few queries in flight, and a
+// semaphore limits pushes, so the number of goroutines is bounded.
 func (r *Runner) perform(a Action) {
 	switch a := a.(type) {
 	case Report:
@@ -25,9 +24,9 @@
 	case Offer:
 		r.spawn(func(context.Context) { r.offer(a.Snapshot) })
 	case Push:
-		r.performTell(a)
+		r.performPush(a)
 	default:
-		r.spawn(func(ctx context.Context) { r.ask(ctx, a) })
+		r.spawn(func(ctx context.Context) { r.request(ctx, a) })
 	}
 }
 
@@ -37,11 +36,11 @@
 	if r.ended {
 		return
 	}
-	r.flying.Go(func() { f(r.ctx) })
+	r.inFlight.Go(func() { f(r.ctx) })
 }
 
-// ask carries out an action that is a question.
-func (r *Runner) ask(ctx context.Context, a Action) {
+// request performs an action that waits for an answer.
+func (r *Runner) request(ctx context.Context, a Action) {
 	switch a := a.(type) {
 	case ReadHead:
 		ctx, cancel := context.WithTimeout(ctx, platformTimeout)
@@ -81,16 +80,16 @@
 	inForce, err := r.deps.Store.Offer(s)
 	if err != nil {
 		r.deps.Log.Error().Uint64("version", s.Version().Number).Err(err).
-			Msg("distribute: keep the running version")
+			Msg("distribute: cannot put the version in force, keeping the running one")
 	}
 	if err == nil && inForce {
-		r.mark(s.Version())
+		r.recordInForce(s.Version())
 	}
 	r.step(Offered{Version: s.Version(), Err: err})
 }
 
-// mark notes when a version came into force.
-func (r *Runner) mark(v config.Version) {
+// recordInForce records when a version came into force.
+func (r *Runner) recordInForce(v config.Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := Timing{Version: v, InForce: time.Now()}
@@ -105,29 +104,29 @@
 	}
 }
 
-// performTell sends one tell to each peer.
-func (r *Runner) performTell(a Push) {
+// performPush pushes a version to each peer.
+func (r *Runner) performPush(a Push) {
 	packed, err := Pack(a.Deltas, nil)
 	if err != nil {
-		r.deps.Log.Error().Err(err).Msg("distribute: tell without the changes")
+		r.deps.Log.Error().Err(err).Msg("distribute: cannot encode the changes, pushing the version alone")
 	}
 	for _, p := range a.Peers {
 		r.spawn(func(ctx context.Context) {
-			if r.tells.Acquire(ctx, 1) != nil {
+			if r.pushes.Acquire(ctx, 1) != nil {
 				return
 			}
-			defer r.tells.Release(1)
-			r.step(PushDone{Peer: p, Version: a.Version, Err: r.tell(ctx, p, packed)})
+			defer r.pushes.Release(1)
+			r.step(PushDone{Peer: p, Version: a.Version, Err: r.push(ctx, p, packed)})
 		})
 	}
 }
 
-func (r *Runner) tell(ctx context.Context, peer string, packed *peerpb.Packed) error {
+func (r *Runner) push(ctx context.Context, peer string, packed *peerpb.Packed) error {
 	addr, err := r.addr(peer)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
 	return r.deps.Client.Push(ctx, addr, packed)
 }
@@ -136,7 +135,7 @@
 	if rec := r.deps.Views.Load().Records[peer]; rec != nil {
 		return rec.VM.ControlAddr, nil
 	}
-	return "", errUnlisted
+	return "", errNotMember
 }
 
 func (r *Runner) pull(ctx context.Context, p Pull, headOnly bool) (Answer, error) {
@@ -174,8 +173,7 @@
 	return a, err
 }
 
-// ServePull answers a peer's pull. The caller has made sure that the request
-// comes from the peer that it names.
+// ServePull answers a peer's pull. The caller has authenticated the peer that the request names.
 func (r *Runner) ServePull(req *peerpb.PullRequest) (*peerpb.PullResponse, error) {
 	v, err := versionFromProto(req.Version, req.Hash)
 	if err != nil {
@@ -195,7 +193,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if packed != nil && !r.served.AllowN(time.Now(), min(len(packed.Data), servedBurst)) {
+	if packed != nil && !r.pullLimiter.AllowN(time.Now(), min(len(packed.Data), servedBurst)) {
 		return &peerpb.PullResponse{RetryAfterMs: uint32(retryAfter.Milliseconds())}, nil
 	}
 	return &peerpb.PullResponse{
@@ -205,8 +203,8 @@
 	}, nil
 }
 
-// pack encodes an answer's changes. A snapshot is encoded once per version,
-// since a herd of starting nodes asks for the same one.
+// pack encodes an answer's changes. A snapshot is encoded once per version, since many starting
+// nodes request the same one.
 func (r *Runner) pack(a Answer) (*peerpb.Packed, error) {
 	if a.Snapshot == nil {
 		return Pack(a.Deltas, nil)
--- a/internal/distribute/property_test.go
+++ b/internal/distribute/property_test.go
@@ -8,12 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// What an operator would see if this broke: a proxy that runs a change, then
-// not, or a proxy that stays behind for good. Messages are lost, doubled and
-// reordered, nodes die and come back empty, the platform goes away or answers
-// old heads, data centres part. The harness checks every offer: never an older
-// version and never one that is not in the log.
-func TestNeverBackwardsAndAllConverge(t *testing.T) {
+// Guards against a proxy that reverts a change, or stays behind for good. Messages are lost,
+// duplicated and reordered, nodes die and restart without state, the platform fails or returns old
+// heads, data centres are partitioned. The harness checks the versions offered; see mesh.offer.
+func TestVersionsNeverRegressAndConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := TimeProfile()
 		if rapid.Bool().Draw(t, "bytes") {
@@ -26,10 +24,10 @@
 		m := newMesh(n, rapid.IntRange(1, 3).Draw(t, "dcs"), rapid.Uint64().Draw(t, "seed"),
 			func(id, dc string) Settings {
 				s := Defaults(id, dc, p)
-				s.MaxDeltas = 3 // so that snapshots are needed often
+				s.MaxDeltas = 3 // makes snapshots frequent
 				return s
 			})
-		runFaults(t, m)
+		injectFaults(t, m)
 		heal(m)
 		for range 90 {
 			m.run(time.Second)
@@ -37,8 +35,8 @@
 				break
 			}
 		}
-		if m.fault != "" {
-			t.Fatal(m.fault)
+		if m.violation != "" {
+			t.Fatal(m.violation)
 		}
 		if !m.converged() {
 			t.Fatalf("not converged: %s", describe(m))
@@ -48,22 +46,22 @@
 		}
 		for _, node := range m.nodes {
 			for _, f := range node.reports {
-				// Under faults a newest version may find no witness in time;
-				// nobody is ever called a liar or of another history for it.
+				// Under faults the newest version may find no witness in time; no node may be
+				// reported as invalid or as on another history because of that.
 				if f.Kind() != "stale_head" && f.Kind() != "unconfirmed" {
-					t.Fatalf("%s reports %v, but there is one history and no liar", node.id, f)
+					t.Fatalf("%s reports %v, but there is one history and no malicious peer", node.id, f)
 				}
 			}
 		}
 	})
 }
 
-func runFaults(t *rapid.T, m *mesh) {
+func injectFaults(t *rapid.T, m *mesh) {
 	node := func() *node { return m.nodes[rapid.SampledFrom(m.ids).Draw(t, "node")] }
 	for range rapid.IntRange(1, 12).Draw(t, "steps") {
 		switch rapid.IntRange(0, 8).Draw(t, "fault") {
 		case 0, 1, 2:
-			m.change(node())
+			m.commitChange(node())
 		case 3:
 			m.kill(node().id)
 		case 4:
@@ -71,28 +69,28 @@
 			m.kill(n.id)
 			m.startNode(n.id)
 		case 5:
-			m.down = !m.down
+			m.platformDown = !m.platformDown
 		case 6:
 			m.headLag = rapid.IntRange(0, 3).Draw(t, "lag")
 		case 7:
-			lossy(m, rapid.IntRange(0, 60).Draw(t, "percent"))
+			setLoss(m, rapid.IntRange(0, 60).Draw(t, "percent"))
 		case 8:
-			m.cut = func(a, b string) bool { return m.nodes[a].dc != m.nodes[b].dc }
+			m.partitioned = func(a, b string) bool { return m.nodes[a].dc != m.nodes[b].dc }
 		}
 		m.run(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 	}
 }
 
-func lossy(m *mesh, percent int) {
+func setLoss(m *mesh, percent int) {
 	m.drop = func() bool { return m.rng.IntN(100) < percent }
-	m.double = func() bool { return m.rng.IntN(100) < percent }
-	m.extra = func() time.Duration { return time.Duration(m.rng.IntN(percent*20+1)) * time.Millisecond }
+	m.duplicate = func() bool { return m.rng.IntN(100) < percent }
+	m.extraDelay = func() time.Duration { return time.Duration(m.rng.IntN(percent*20+1)) * time.Millisecond }
 }
 
 func heal(m *mesh) {
-	lossy(m, 0)
-	m.cut = func(a, b string) bool { return false }
-	m.down, m.headLag = false, 0
+	setLoss(m, 0)
+	m.partitioned = func(a, b string) bool { return false }
+	m.platformDown, m.headLag = false, 0
 	for _, id := range m.ids {
 		if !m.nodes[id].up {
 			m.startNode(id)
@@ -110,33 +108,31 @@
 	return out
 }
 
-// What a caller would see if this broke: a booking class that was changed
-// minutes ago answers by its old targets, because the VM beside it was
-// restarted and took traffic before it had caught up. A node that ran version
-// v, and whose peers saw it, must not be ready below v after a restart, also
-// while the platform is down and messages are lost.
+// Guards against a restarted node that serves an older version than before. A node whose peers saw
+// version v in force must not be ready below v, even while the platform is down and messages are
+// lost.
 func TestRestartedNodeIsNotReadyBelowWhatPeersSaw(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMesh(rapid.IntRange(4, 6).Draw(t, "nodes"), 2, rapid.Uint64().Draw(t, "seed"),
 			func(id, dc string) Settings { return Defaults(id, dc, TimeProfile()) })
-		m.change(nil)
+		m.commitChange(nil)
 		m.run(20 * time.Second)
 		for range rapid.IntRange(1, 4).Draw(t, "changes") {
-			m.change(m.nodes[m.ids[0]])
+			m.commitChange(m.nodes[m.ids[0]])
 			m.run(8 * time.Second)
 		}
-		m.down = rapid.Bool().Draw(t, "down")
+		m.platformDown = rapid.Bool().Draw(t, "down")
 		m.headLag = rapid.IntRange(0, 2).Draw(t, "lag")
-		lossy(m, rapid.IntRange(0, 50).Draw(t, "percent"))
+		setLoss(m, rapid.IntRange(0, 50).Draw(t, "percent"))
 		n := m.nodes[m.ids[0]]
-		saw := n.state.InForce()
+		ranBefore := n.state.InForce()
 		m.kill(n.id)
 		m.run(time.Second)
 		m.startNode(n.id)
 		for range 150 {
 			m.run(100 * time.Millisecond)
-			if ok, _ := n.state.Ready(); ok && n.state.InForce() < saw {
-				t.Fatalf("ready with version %d, peers saw %d: %s", n.state.InForce(), saw, describe(m))
+			if ok, _ := n.state.Ready(); ok && n.state.InForce() < ranBefore {
+				t.Fatalf("ready with version %d, peers saw %d: %s", n.state.InForce(), ranBefore, describe(m))
 			}
 		}
 		heal(m)
@@ -146,8 +142,8 @@
 				break
 			}
 		}
-		if ok, why := n.state.Ready(); !ok || m.fault != "" {
-			t.Fatalf("not ready after healing: %s %s", why, m.fault)
+		if ok, why := n.state.Ready(); !ok || m.violation != "" {
+			t.Fatalf("not ready after healing: %s %s", why, m.violation)
 		}
 	})
 }
--- a/internal/distribute/pull.go
+++ b/internal/distribute/pull.go
@@ -9,87 +9,87 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// claim is a newer version that a peer says it holds.
+// claim is a newer version that a peer reports holding.
 type claim struct {
-	version config.Version
-	after   time.Time // not to be pulled before
-	fails   int
+	version  config.Version
+	nextAt   time.Time // earliest time of the next pull
+	failures int
 }
 
-// pulling is the one pull in flight.
-type pulling struct {
-	peer    string // empty when none is
+// activePull is the one pull in flight.
+type activePull struct {
+	peer    string // empty when there is none
 	version config.Version
 	held    config.Version
 }
 
-// maxPullFails is how many failed pulls in a row drop a peer's claim.
-const maxPullFails = 4
+// maxPullFailures is the number of failed pulls in a row after which a peer's claim is dropped.
+const maxPullFailures = 4
 
-// heard takes the version that a peer's message carried.
-func (s *State) heard(e VersionReceived) {
-	if !s.believed(e.Peer) {
+// versionReceived handles the version that a peer's message carried.
+func (s *State) versionReceived(e VersionReceived) {
+	if !s.allowed(e.Peer) {
 		return
 	}
-	s.remember(e.Peer, e.InForce)
+	s.recordPeerVersion(e.Peer, e.InForce)
 	if len(e.Deltas) > 0 && !s.applyDeltas(e.Peer, e.Deltas) {
 		return
 	}
 	s.RecordMessage(s.now, e)
-	s.witness(e.Peer, e.Version)
+	s.recordWitness(e.Peer, e.Version)
 	if !e.Version.Newer(s.Version()) {
 		delete(s.claims, e.Peer)
 		if s.chain.relation(e.Version) == relationOther {
-			s.conflict(e.Peer, e.Version)
+			s.recordConflict(e.Peer, e.Version)
 		}
 		return
 	}
 	s.claim(e)
 }
 
-// claim remembers a newer version and when to pull it.
+// claim records a peer's newer version and when to pull it.
 func (s *State) claim(e VersionReceived) {
 	c := s.claims[e.Peer]
 	if c != nil && c.version == e.Version && !e.Pushed {
 		return
 	}
 	if c == nil && len(s.claims) >= s.set.MaxClaims {
-		return // whoever is in there has it too, or the next message tells
+		return // a peer already listed has it too, or a later message repeats it
 	}
-	after := s.now
+	nextAt := s.now
 	if !e.Pushed && s.Version().Number > 0 {
 		d := s.set.Profile.PullDelay
-		after = after.Add(d/2 + s.jitter(d/2))
+		nextAt = nextAt.Add(d/2 + s.jitter(d/2))
 	}
-	s.claims[e.Peer] = &claim{version: e.Version, after: after}
+	s.claims[e.Peer] = &claim{version: e.Version, nextAt: nextAt}
 }
 
-// remember keeps the highest version seen in force at a peer. A node that
-// restarts without memory asks for it.
-func (s *State) remember(peer string, inForce uint64) {
-	if inForce <= s.held[peer] {
+// recordPeerVersion keeps the highest version seen in force at a peer. A node that restarts, and
+// has lost its state, queries it.
+func (s *State) recordPeerVersion(peer string, inForce uint64) {
+	if inForce <= s.peerInForce[peer] {
 		return
 	}
-	if _, known := s.held[peer]; !known && len(s.held) >= s.set.MaxPeers {
-		s.forgetUnlisted()
-		if len(s.held) >= s.set.MaxPeers {
+	if _, known := s.peerInForce[peer]; !known && len(s.peerInForce) >= s.set.MaxPeers {
+		s.pruneNonMembers()
+		if len(s.peerInForce) >= s.set.MaxPeers {
 			return
 		}
 	}
-	s.held[peer] = inForce
+	s.peerInForce[peer] = inForce
 }
 
-// forgetUnlisted drops peers that left the membership.
-func (s *State) forgetUnlisted() {
-	for p := range s.held {
+// pruneNonMembers removes peers that left the membership.
+func (s *State) pruneNonMembers() {
+	for p := range s.peerInForce {
 		if s.view == nil || s.view.Records[p] == nil {
-			delete(s.held, p)
+			delete(s.peerInForce, p)
 		}
 	}
 }
 
-// settleClaims drops the claims that the chain has reached.
-func (s *State) settleClaims() {
+// dropReachedClaims drops the claims that the chain has reached.
+func (s *State) dropReachedClaims() {
 	for _, p := range sortedKeys(s.claims) {
 		c := s.claims[p]
 		if c.version.Newer(s.Version()) {
@@ -97,14 +97,14 @@
 		}
 		delete(s.claims, p)
 		if s.chain.relation(c.version) == relationOther {
-			s.conflict(p, c.version)
+			s.recordConflict(p, c.version)
 		}
 	}
 }
 
 // schedulePull starts a pull if one is due and none is in flight.
 func (s *State) schedulePull() {
-	if s.pull.peer != "" || s.jump != nil || len(s.claims) == 0 {
+	if s.pull.peer != "" || s.pending != nil || len(s.claims) == 0 {
 		return
 	}
 	if peer := s.chooseClaim(); peer != "" {
@@ -113,26 +113,26 @@
 }
 
 func (s *State) startPull(peer string, v config.Version) {
-	s.pull = pulling{peer: peer, version: v, held: s.Version()}
+	s.pull = activePull{peer: peer, version: v, held: s.Version()}
 	s.emit(Pull{Peer: peer, Version: v, Held: s.Version()})
 }
 
-// chooseClaim picks the peer to pull from: one with the highest version, since
-// deltas prove themselves. A node that holds nothing takes a snapshot, which
-// does not, so it prefers the version that most peers name.
+// chooseClaim picks the peer to pull from: one with the highest version, since deltas verify
+// themselves. A node that holds nothing gets a snapshot, which does not prove its descent, so it
+// prefers the version that most peers report.
 func (s *State) chooseClaim() string {
 	votes := make(map[config.Version]int)
 	var peers []string
 	for p, c := range s.claims {
 		votes[c.version]++
-		if !s.now.Before(c.after) {
+		if !s.now.Before(c.nextAt) {
 			peers = append(peers, p)
 		}
 	}
 	if len(peers) == 0 {
 		return ""
 	}
-	slices.Sort(peers) // map order must not decide
+	slices.Sort(peers) // makes the choice independent of map order
 	s.rng.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	empty := s.Version().Number == 0
 	return slices.MaxFunc(peers, func(a, b string) int {
@@ -144,35 +144,35 @@
 	})
 }
 
-// pulled takes the outcome of the pull in flight.
+// pulled handles the outcome of the pull in flight.
 func (s *State) pulled(e Pulled) {
 	if e.Peer != s.pull.peer {
 		return
 	}
 	p := s.pull
-	s.pull = pulling{}
+	s.pull = activePull{}
 	if e.Err != nil {
 		s.pullFailed(p.peer, e.Err)
 		return
 	}
 	a := e.Answer
-	if s.jump != nil && s.jump.snapshot.Version() == p.version {
-		s.confirm(p, a)
+	if s.pending != nil && s.pending.snapshot.Version() == p.version {
+		s.recordWitnessAnswer(p, a)
 		return
 	}
 	if a.OtherHistory {
-		s.conflict(p.peer, a.Version)
-		s.discredit(p.peer)
+		s.recordConflict(p.peer, a.Version)
+		s.ban(p.peer)
 		return
 	}
-	if !s.takeAnswer(p, a) {
+	if !s.applyAnswer(p, a) {
 		return
 	}
-	s.afterPull(p.peer, a.Version)
+	s.updateClaim(p.peer, a.Version)
 }
 
-// takeAnswer uses the changes of an answer.
-func (s *State) takeAnswer(p pulling, a Answer) bool {
+// applyAnswer applies the changes of an answer. It reports whether they were valid.
+func (s *State) applyAnswer(p activePull, a Answer) bool {
 	if len(a.Deltas) > 0 && !s.applyDeltas(p.peer, a.Deltas) {
 		return false
 	}
@@ -180,21 +180,21 @@
 		return true
 	}
 	if a.Snapshot.Version() != a.Version {
-		s.bad(p.peer, ErrBadAnswer)
+		s.reportBadPeer(p.peer, ErrBadAnswer)
 		return false
 	}
-	s.considerJump(p, a)
+	s.receiveSnapshot(p, a)
 	return true
 }
 
-// afterPull keeps the peer's claim in step with what its answer showed.
-func (s *State) afterPull(peer string, shown config.Version) {
+// updateClaim updates the peer's claim from the version in its answer.
+func (s *State) updateClaim(peer string, shown config.Version) {
 	c := s.claims[peer]
 	if c == nil {
 		return
 	}
-	if shown.Newer(s.Version()) && s.jump == nil {
-		s.bad(peer, ErrBadAnswer) // it names a version and does not show it
+	if shown.Newer(s.Version()) && s.pending == nil {
+		s.reportBadPeer(peer, ErrBadAnswer) // it claims a version without supplying it
 		return
 	}
 	if !shown.Newer(s.Version()) {
@@ -202,15 +202,15 @@
 	}
 }
 
-// pullFailed waits with full jitter before the peer is asked again, so that a
-// herd that pulls from one sender spreads over time and over other senders.
+// pullFailed schedules a retry with full jitter, so that many nodes pulling from one sender spread
+// over time and over other senders.
 func (s *State) pullFailed(peer string, err error) {
-	if isBad(err) {
-		s.bad(peer, err)
+	if isBadAnswer(err) {
+		s.reportBadPeer(peer, err)
 		return
 	}
-	if s.jump != nil {
-		s.jump.after = s.now.Add(s.backoff(1))
+	if s.pending != nil {
+		s.pending.nextAt = s.now.Add(s.backoff(1))
 	}
 	c := s.claims[peer]
 	if c == nil {
@@ -218,13 +218,13 @@
 	}
 	var busy *BusyError
 	if errors.As(err, &busy) {
-		c.after = s.now.Add(busy.RetryAfter + s.jitter(busy.RetryAfter))
+		c.nextAt = s.now.Add(busy.RetryAfter + s.jitter(busy.RetryAfter))
 		return
 	}
-	c.fails++
-	if c.fails >= maxPullFails {
+	c.failures++
+	if c.failures >= maxPullFailures {
 		delete(s.claims, peer)
 		return
 	}
-	c.after = s.now.Add(s.backoff(c.fails))
+	c.nextAt = s.now.Add(s.backoff(c.failures))
 }
--- a/internal/distribute/roles.go
+++ b/internal/distribute/roles.go
@@ -7,8 +7,8 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// IsFeeder reports whether self is one of the nodes of data centre dc that read the
-// platform for the others.
+// IsFeeder reports whether self is one of the nodes of data centre dc that read the platform for
+// the others.
 func IsFeeder(v *membership.View, self, dc string) bool {
 	order := feederOrder(v, self, dc)
 	return slices.Contains(order[:min(feedersPerDC, len(order))], self)
@@ -16,27 +16,27 @@
 
 // feederOrder returns the nodes of data centre dc, its feeders first.
 func feederOrder(v *membership.View, self, dc string) []string {
-	ids, _ := feederChoice(v, self, dc)
-	return byLink(v, ranked("feeder/"+dc+"/", ids))
+	ids, _ := feederCandidates(v, self, dc)
+	return sortByLink(v, ranked("feeder/"+dc+"/", ids))
 }
 
-// Position is where a node stands among those of its data centre by which versions come to it.
+// Position is a node's position in the distribution order of its data centre.
 type Position struct {
-	// Rank is the node's place in the order in which nodes are to read the platform. The first
-	// two are the feeders.
+	// Rank is the node's index in the order in which nodes read the platform. The first two are the
+	// feeders.
 	Rank    int
 	Feeders []string
-	// Parents are the nodes that this one depends on for versions, in the order in which it asks
-	// them whether they are there. They are the feeders, which half of the nodes ask the other
-	// way about; in a tree the node above, then a feeder. A feeder has none.
+	// Parents are the nodes that push versions to this one, in the order in which it checks that
+	// they are reachable. They are the two feeders, whose order every other node reverses; below
+	// the first level of the tree, the parent and then a feeder. A feeder has none.
 	Parents []string
-	// MaxQueriers is how many nodes at most ask the first teller.
+	// MaxQueriers is the maximum number of nodes that query the first parent.
 	MaxQueriers int
-	// Depth is how many tells a version takes from a feeder to this node.
+	// Depth is the number of pushes that a version takes from a feeder to this node.
 	Depth int
 }
 
-// PositionOf returns the place of self in data centre dc.
+// PositionOf returns the position of self in data centre dc.
 func PositionOf(v *membership.View, self, dc string) Position {
 	order := feederOrder(v, self, dc)
 	p := Position{Rank: slices.Index(order, self), Feeders: order[:min(feedersPerDC, len(order))]}
@@ -48,33 +48,32 @@
 		slices.Reverse(p.Parents)
 	}
 	if p.Depth = depth(p.Rank); p.Depth > 1 {
-		p.Parents = []string{order[above(p.Rank)], p.Parents[0]}
-		p.MaxQueriers = directTells
+		p.Parents = []string{order[parentRank(p.Rank)], p.Parents[0]}
+		p.MaxQueriers = maxDirectPushes
 		return p
 	}
-	told := min(len(order)-feedersPerDC, directTells)
-	p.MaxQueriers = (told + 1) / 2
+	direct := min(len(order)-feedersPerDC, maxDirectPushes)
+	p.MaxQueriers = (direct + 1) / 2
 	return p
 }
 
-// above returns the rank of the node that tells the one of a rank over those that the feeders
-// tell by themselves.
-func above(rank int) int { return (rank-feedersPerDC)/directTells + 1 }
+// parentRank returns the rank of the parent of a node to which the feeders do not push directly.
+func parentRank(rank int) int { return (rank-feedersPerDC)/maxDirectPushes + 1 }
 
 func depth(rank int) int {
 	switch {
 	case rank < feedersPerDC:
 		return 0
-	case rank < feedersPerDC+directTells:
+	case rank < feedersPerDC+maxDirectPushes:
 		return 1
 	}
-	return 1 + depth(above(rank))
+	return 1 + depth(parentRank(rank))
 }
 
-// byLink puts the nodes with the fastest links first. Feeders read every version
-// whole, some hundred kilobytes, and tell all others; over a link of 5 Mbit/s each
-// read takes half a second, in which the calls there stand still.
-func byLink(v *membership.View, order []string) []string {
+// sortByLink sorts the nodes by link speed, fastest first. Feeders read every version whole, some
+// hundred kilobytes, and push to all others; over a 5 Mbit/s link each read takes half a second, in
+// which calls over that link stall.
+func sortByLink(v *membership.View, order []string) []string {
 	link := func(id string) uint32 {
 		if v == nil || v.Records[id] == nil {
 			return 0
@@ -85,40 +84,40 @@
 	return order
 }
 
-// directTells is how many nodes of a data centre a feeder tells by itself. In
-// larger ones a tree passes a version on, so that no node sends more than these.
-const directTells = 32
+// maxDirectPushes is the number of nodes of a data centre to which one node pushes directly. In
+// larger data centres a tree forwards versions, so that no node pushes to more.
+const maxDirectPushes = 32
 
-// PushTargets returns the nodes of data centre dc that self tells of a version once it
-// holds it: a feeder all others, or the upper part of a tree where they are many,
-// and in such a tree every other node those below it. Nodes whose views differ get
-// slightly different trees; whoever is missed hears by the membership.
+// PushTargets returns the nodes of data centre dc to which self pushes a version once it holds it.
+// A feeder pushes to all others, or to the first level of the tree in a large data centre; in such
+// a tree every other node pushes to its children. Nodes with different views get slightly different
+// trees; a node that is missed learns of the version from the membership.
 func PushTargets(v *membership.View, self, dc string) []string {
-	ids := live(v, self, dc)[dc]
-	order := byLink(v, ranked("feeder/"+dc+"/", ids))
-	at := slices.Index(order, self)
-	if len(order) <= directTells+feedersPerDC {
-		if at >= feedersPerDC {
+	ids := liveByDC(v, self, dc)[dc]
+	order := sortByLink(v, ranked("feeder/"+dc+"/", ids))
+	rank := slices.Index(order, self)
+	if len(order) <= maxDirectPushes+feedersPerDC {
+		if rank >= feedersPerDC {
 			return nil
 		}
-		return slices.Delete(slices.Clone(order), at, at+1)
+		return slices.Delete(slices.Clone(order), rank, rank+1)
 	}
-	// Both feeders stand at the root, one in place of the other.
-	if at < feedersPerDC {
-		other := slices.Delete(slices.Clone(order[:feedersPerDC]), at, at+1)
-		return append(other, order[feedersPerDC:feedersPerDC+directTells]...)
+	// Both feeders are at the root, each as a replacement for the other.
+	if rank < feedersPerDC {
+		otherFeeder := slices.Delete(slices.Clone(order[:feedersPerDC]), rank, rank+1)
+		return append(otherFeeder, order[feedersPerDC:feedersPerDC+maxDirectPushes]...)
 	}
-	below := (at-feedersPerDC+1)*directTells + feedersPerDC
-	return order[min(below, len(order)):min(below+directTells, len(order))]
+	below := (rank-feedersPerDC+1)*maxDirectPushes + feedersPerDC
+	return order[min(below, len(order)):min(below+maxDirectPushes, len(order))]
 }
 
-// CrossDCTargets returns the first feeder of each other data centre, if self is that of dc. They
-// are told that there is a version, and not what has changed: each reads it by itself.
+// CrossDCTargets returns the first feeder of every other data centre, if self is the first feeder
+// of dc. They receive only the version, not the changes: each reads those itself.
 //
-// It guards against a data centre whose feeders the platform keeps waiting, while it answers
-// all others. Such feeders don't know yet that they can't read, and hear of a version only by
-// the exchanges between data centres, some seconds apart. Told at once, they pull it as soon
-// as it is overdue.
+// It guards against a data centre whose feeders get no answer from the platform while all others
+// do. Such feeders do not know yet that their reads fail, and would learn of a version only from
+// the exchanges between data centres, some seconds apart. With the push, they pull it as soon as it
+// is overdue.
 func CrossDCTargets(v *membership.View, self, dc string) []string {
 	if feederOrder(v, self, dc)[0] != self {
 		return nil
@@ -126,29 +125,29 @@
 	return FirstFeeders(v, self, dc)
 }
 
-// Readers returns the nodes that read the platform for the feeders of all data centres: the one
-// that leads, and its deputy, if there is one. They are first feeders, those with the fastest
-// links; in a mesh of one data centre its feeders.
+// Readers returns the nodes that read the platform for the feeders of all data centres: the leader
+// and, if there is one, its deputy. They are the first feeders with the fastest links, or the
+// feeders of the only data centre.
 func Readers(v *membership.View, self, dc string) []string {
 	order := feederOrder(v, self, dc)
 	firsts := append(FirstFeeders(v, self, dc), order[0])
 	if len(firsts) == 1 {
-		return order[:min(readersInAll, len(order))]
+		return order[:min(platformReaders, len(order))]
 	}
-	return byLink(v, ranked("reader/", firsts))[:readersInAll]
+	return sortByLink(v, ranked("reader/", firsts))[:platformReaders]
 }
 
-// readersInAll is how many nodes of a mesh read the platform while it answers them.
-const readersInAll = 2
+// platformReaders is the number of nodes of a mesh that read the platform while it answers them.
+const platformReaders = 2
 
 // OtherFeeders returns the feeders of all data centres but dc.
 func OtherFeeders(v *membership.View, self, dc string) []string {
 	var out []string
-	for other, ids := range live(v, self, dc) {
+	for other, ids := range liveByDC(v, self, dc) {
 		if other == dc {
 			continue
 		}
-		order := byLink(v, ranked("feeder/"+other+"/", ids))
+		order := sortByLink(v, ranked("feeder/"+other+"/", ids))
 		out = append(out, order[:min(feedersPerDC, len(order))]...)
 	}
 	slices.Sort(out)
@@ -158,9 +157,9 @@
 // FirstFeeders returns the first feeder of each data centre other than dc.
 func FirstFeeders(v *membership.View, self, dc string) []string {
 	var out []string
-	for other, ids := range live(v, self, dc) {
+	for other, ids := range liveByDC(v, self, dc) {
 		if other != dc {
-			out = append(out, byLink(v, ranked("feeder/"+other+"/", ids))[0])
+			out = append(out, sortByLink(v, ranked("feeder/"+other+"/", ids))[0])
 		}
 	}
 	slices.Sort(out)
--- a/internal/distribute/roles_test.go
+++ b/internal/distribute/roles_test.go
@@ -7,10 +7,10 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// The platform keeps both feeders of a data centre waiting, and answers all others. No other
-// data centre told them of a version, so its nodes ran by the one before for over two seconds.
-// One feeder of each data centre has to mention a version to one of each other.
-func TestFeedersMentionAVersionElsewhere(t *testing.T) {
+// Guards a data centre whose feeders get no answer from the platform against running the previous
+// version for over two seconds, because no other data centre pushed the newer one to it. One feeder
+// of each data centre has to push a version to one feeder of each other.
+func TestCrossDCTargetsCoverFirstFeeders(t *testing.T) {
 	v := &membership.View{Records: map[string]*membership.Seen{}}
 	for i := range 24 {
 		id := fmt.Sprint("vm", i)
@@ -18,30 +18,30 @@
 			VM: membership.VM{ID: id, DataCentre: fmt.Sprint("dc", i%4)}, State: membership.VMAlive,
 		}}
 	}
-	heard := map[string]int{}
-	tellers := 0
+	received := map[string]int{}
+	pushers := 0
 	for id, r := range v.Records {
 		to := CrossDCTargets(v, id, r.VM.DataCentre)
 		if len(to) == 0 {
 			continue
 		}
-		tellers++
+		pushers++
 		for _, p := range to {
-			heard[p]++
-			if its := v.Records[p].VM.DataCentre; its == r.VM.DataCentre || !IsFeeder(v, p, its) {
-				t.Errorf("%s of %s tells %s of %s", id, r.VM.DataCentre, p, its)
+			received[p]++
+			if dc := v.Records[p].VM.DataCentre; dc == r.VM.DataCentre || !IsFeeder(v, p, dc) {
+				t.Errorf("%s of %s pushes to %s of %s", id, r.VM.DataCentre, p, dc)
 			}
 		}
 	}
-	if tellers != 4 || len(heard) != 4 {
-		t.Errorf("%d tell %v", tellers, heard)
+	if pushers != 4 || len(received) != 4 {
+		t.Errorf("%d nodes push to %v", pushers, received)
 	}
-	for id, n := range heard {
+	for id, n := range received {
 		if n != 3 {
-			t.Errorf("%s is told by %d", id, n)
+			t.Errorf("%s receives pushes from %d nodes", id, n)
 		}
 	}
 	if got := CrossDCTargets(nil, "vm1", "dc1"); got != nil {
-		t.Errorf("alone: %v", got)
+		t.Errorf("without a view: %v", got)
 	}
 }
--- a/internal/distribute/runner.go
+++ b/internal/distribute/runner.go
@@ -16,20 +16,19 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// Platform reads versions from the platform. Since returns an error that wraps
-// ErrCompacted when the deltas are no longer there.
+// Platform reads versions from the platform. Since returns an error that wraps ErrCompacted when
+// the deltas are no longer available.
 type Platform interface {
 	Head(ctx context.Context) (config.Version, error)
 	Since(ctx context.Context, v config.Version) ([]*config.Delta, error)
 	Snapshot(ctx context.Context, head config.Version) (*config.Snapshot, error)
 }
 
-// Client sends messages to a peer. It fills in the mesh, the sender and the
-// sender's version, and hands what each answer says of the peer's version to
-// Runner.Heard.
+// Client sends messages to a peer. It fills in the mesh, the sender and the sender's version, and
+// passes the version in each answer to Runner.Heard.
 type Client interface {
 	Push(ctx context.Context, addr string, changes *peerpb.Packed) error
-	// Pull fails when another VM than to answers at addr.
+	// Pull fails when a VM other than to answers at addr.
 	Pull(ctx context.Context, to, addr string, req *peerpb.PullRequest) (*peerpb.PullResponse, error)
 }
 
@@ -39,52 +38,52 @@
 }
 
 const (
-	tickEvery       = 100 * time.Millisecond
-	tellTimeout     = time.Second
+	tickInterval    = 100 * time.Millisecond
+	pushTimeout     = time.Second
 	pullTimeout     = 5 * time.Second
 	platformTimeout = 5 * time.Second
-	// maxTells bounds the tells in flight.
-	maxTells = 32
-	// servedBytesPerSecond and servedBurst cap what pulls may take, so that a
-	// herd of starting nodes cannot fill a sender's link.
+	// maxPushes limits the pushes in flight.
+	maxPushes = 32
+	// servedBytesPerSecond and servedBurst limit the bytes served to pulls, so that many starting
+	// nodes cannot saturate the sender's link.
 	servedBytesPerSecond = 2 << 20
 	servedBurst          = 2 << 20
-	// retryAfter is what a refused pull is told; the asker adds jitter.
+	// retryAfter is the delay sent with a refused pull; the requester adds jitter.
 	retryAfter = time.Second
-	// maxTimeline bounds the versions whose times are kept.
+	// maxTimeline limits the versions in the timeline.
 	maxTimeline = 64
 )
 
-// Stamp is what every message of this node carries of its versions.
+// Stamp is the version information in every message of this node.
 type Stamp struct {
 	Version config.Version
-	Behind  uint64 // how far the version in force lies behind Version
-	// Confirmed tells when the source of versions was last heard, or nil.
+	Behind  uint64 // how many versions the one in force lags Version
+	// Confirmed is the age of the newest confirmation, or nil if there is none.
 	Confirmed *peerpb.Confirmation
 }
 
-// Timing tells when one version was accepted and came into force here. The two
-// clocks are those of two nodes.
+// Timing is when a version was accepted and when it came into force here. The times are from the
+// clocks of two nodes.
 type Timing struct {
 	Version  config.Version
 	Accepted time.Time
 	InForce  time.Time
 }
 
-// Deps are what a Runner works with.
+// Deps are the dependencies of a Runner.
 type Deps struct {
 	Views    *membership.Views
 	Platform Platform
 	Client   Client
 	Store    Store
 	Log      zerolog.Logger
-	// OnFinding is told of every finding; it may be nil.
+	// OnFinding is called with every finding; it may be nil.
 	OnFinding func(Finding)
 }
 
-// Runner drives a State: it holds its lock, keeps its timer and carries out
-// its actions. Start Run once membership has made first contact, or the node
-// takes itself to be alone and reads the platform at once.
+// Runner drives a State: it guards it with a lock, runs its timer and performs its actions. Start
+// Run only after the first contact of membership; otherwise the node considers itself the only one
+// and reads the platform at once.
 type Runner struct {
 	deps Deps
 
@@ -93,19 +92,19 @@
 	rng      *rand.Rand
 	timeline []Timing
 
-	stamp  atomic.Pointer[stamped]
-	packed atomic.Pointer[packedSnapshot]
-	served *rate.Limiter
-	tells  *semaphore.Weighted
+	stamp       atomic.Pointer[timedStamp]
+	packed      atomic.Pointer[packedSnapshot]
+	pullLimiter *rate.Limiter
+	pushes      *semaphore.Weighted
 
-	ctx    context.Context // ends with Run
-	end    context.CancelFunc
-	ended  bool // guarded by mu; nothing is spawned after it
-	flying sync.WaitGroup
+	ctx      context.Context // cancelled when Run returns
+	end      context.CancelFunc
+	ended    bool // guarded by mu; nothing is spawned once set
+	inFlight sync.WaitGroup
 }
 
-// stamped is a Stamp whose confirmation grows older.
-type stamped struct {
+// timedStamp is a Stamp and the confirmation from which the age in messages is computed.
+type timedStamp struct {
 	Stamp
 	confirmed Confirmation
 }
@@ -119,26 +118,26 @@
 func NewRunner(set Settings, deps Deps) *Runner {
 	ctx, end := context.WithCancel(context.Background())
 	r := &Runner{
-		deps:   deps,
-		state:  New(set, time.Now()),
-		rng:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		served: rate.NewLimiter(servedBytesPerSecond, servedBurst),
-		tells:  semaphore.NewWeighted(maxTells),
-		ctx:    ctx, end: end,
+		deps:        deps,
+		state:       New(set, time.Now()),
+		rng:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		pullLimiter: rate.NewLimiter(servedBytesPerSecond, servedBurst),
+		pushes:      semaphore.NewWeighted(maxPushes),
+		ctx:         ctx, end: end,
 	}
-	r.stamp.Store(&stamped{Stamp: Stamp{Version: r.state.Version()}})
+	r.stamp.Store(&timedStamp{Stamp: Stamp{Version: r.state.Version()}})
 	return r
 }
 
-// Run drives the state until ctx ends, then waits for what is in flight and returns nil. It
-// returns ErrOrphaned earlier if the node has to be started again.
+// Run drives the state until ctx ends, then waits for the requests in flight and returns nil. It
+// returns ErrOrphaned earlier if the node has to be restarted.
 func (r *Runner) Run(ctx context.Context) error {
 	defer r.stop()
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		r.step(Tick{})
-		if r.stranded() {
+		if r.orphaned() {
 			return ErrOrphaned
 		}
 		select {
@@ -149,26 +148,26 @@
 	}
 }
 
-func (r *Runner) stranded() bool {
+func (r *Runner) orphaned() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Orphaned()
 }
 
-// stop ends what is in flight and waits for it.
+// stop cancels the requests in flight and waits for them.
 func (r *Runner) stop() {
 	r.mu.Lock()
 	r.ended = true
 	r.mu.Unlock()
 	r.end()
-	r.flying.Wait()
+	r.inFlight.Wait()
 }
 
-// Stamp returns what messages carry of this node's versions.
+// Stamp returns the version information for messages of this node.
 func (r *Runner) Stamp() Stamp {
-	held := r.stamp.Load()
-	s := held.Stamp
-	s.Confirmed = held.confirmed.Proto(time.Now())
+	cur := r.stamp.Load()
+	s := cur.Stamp
+	s.Confirmed = cur.confirmed.Proto(time.Now())
 	return s
 }
 
@@ -179,15 +178,15 @@
 	return r.state.Ready()
 }
 
-// Held returns the newest version held, in force or not, and whether the mesh
-// is known to hold no newer one: a node that starts does not know at first.
+// Held returns the newest version held, in force or not, and whether the mesh is known to hold no
+// newer one: a starting node does not know at first.
 func (r *Runner) Held() (config.Version, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Version(), r.state.CaughtUp()
 }
 
-// Accepted tells of a change that this node committed itself.
+// Accepted handles a change that this node committed itself.
 func (r *Runner) Accepted(d *config.Delta) { r.step(Accepted{d}) }
 
 // Conflicts returns the latest conflicts, for the handover.
@@ -211,36 +210,36 @@
 	return r.state.Feeder()
 }
 
-// Heard takes the version that a message of a peer carried. The caller has
-// made sure that the message comes from that peer.
+// Heard handles the version in a peer's message. The caller has authenticated the peer.
 func (r *Runner) Heard(e *peerpb.Envelope) {
 	v, err := versionFromProto(e.Version, e.Hash)
 	if err != nil {
-		r.deps.Log.Warn().Str("peer", e.From).Err(err).Msg("distribute: drop a message")
+		r.deps.Log.Warn().Str("peer", e.From).Err(err).Msg("distribute: dropping a message with a malformed version")
 		return
 	}
-	ds, _, err := unpackTold(e.Changes)
+	ds, _, err := unpackPushed(e.Changes)
 	if err != nil {
-		r.deps.Log.Warn().Str("peer", e.From).Err(err).Msg("distribute: drop changes")
+		r.deps.Log.Warn().Str("peer", e.From).Err(err).Msg("distribute: dropping malformed changes")
 		ds = nil
 	}
-	heard := VersionReceived{
+	ev := VersionReceived{
 		Peer: e.From, Version: v, InForce: v.Number - min(e.Behind, v.Number),
 		Pushed: e.Membership == nil, Deltas: ds, Confirmed: ConfirmationFromProto(time.Now(), e.Confirmed),
 	}
-	if len(ds) == 0 && e.Behind == 0 && r.known(heard) {
+	if len(ds) == 0 && e.Behind == 0 && r.unchanged(ev) {
 		return
 	}
-	r.step(heard)
+	r.step(ev)
 }
 
-// known reports whether a message tells nothing new of its sender's version, as nearly every one
-// does. All it says then is that the sender is there, and confirms the version or not.
-func (r *Runner) known(e VersionReceived) bool {
+// unchanged handles a message whose sender's version holds nothing new, as in nearly all messages,
+// and reports whether it was one. Such a message shows only that its sender is reachable, and may
+// carry a confirmation.
+func (r *Runner) unchanged(e VersionReceived) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.state
-	if e.Version != s.Version() || s.held[e.Peer] < e.InForce || s.jump != nil || !s.believed(e.Peer) {
+	if e.Version != s.Version() || s.peerInForce[e.Peer] < e.InForce || s.pending != nil || !s.allowed(e.Peer) {
 		return false
 	}
 	s.RecordMessage(time.Now(), e)
@@ -248,16 +247,16 @@
 	return true
 }
 
-// publish keeps what messages carry in step with the state. The caller holds the lock.
+// publish updates the stamp for messages from the state. The caller holds the lock.
 func (r *Runner) publish() {
 	v := r.state.Version()
-	s := stamped{Stamp{Version: v, Behind: v.Number - r.state.InForce()}, r.state.confirmed}
+	s := timedStamp{Stamp{Version: v, Behind: v.Number - r.state.InForce()}, r.state.confirmed}
 	if s != *r.stamp.Load() {
 		r.stamp.Store(&s)
 	}
 }
 
-// step feeds one event to the state and carries out what it asks for.
+// step passes one event to the state and performs the resulting actions.
 func (r *Runner) step(ev Event) {
 	r.mu.Lock()
 	actions := r.state.Step(time.Now(), r.rng, r.deps.Views.Load(), ev)
--- a/internal/distribute/runner_test.go
+++ b/internal/distribute/runner_test.go
@@ -39,7 +39,7 @@
 	return r, store
 }
 
-func tell(t *testing.T, ds []*config.Delta) *peerpb.Envelope {
+func pushEnvelope(t *testing.T, ds []*config.Delta) *peerpb.Envelope {
 	t.Helper()
 	p, err := Pack(ds, nil)
 	if err != nil {
@@ -49,12 +49,12 @@
 	return &peerpb.Envelope{From: "p", Version: to.Number, Hash: to.Hash[:], Changes: p}
 }
 
-// What an operator would see: senders whose links are full for a minute when a
-// data centre comes back. Pulls over the cap are refused with a time to wait.
-func TestPullsServedAreCapped(t *testing.T) {
+// Guards senders' links against saturation for a minute when a data centre restarts. Pulls over the
+// limit are refused with a delay.
+func TestServedPullBytesAreLimited(t *testing.T) {
 	r, _ := newTestRunner(t)
 	ds, snap := history(t, "booking", 3)
-	r.Heard(tell(t, ds))
+	r.Heard(pushEnvelope(t, ds))
 	req := &peerpb.PullRequest{From: "q"}
 	a, err := r.ServePull(req)
 	if err != nil || a.RetryAfterMs != 0 {
@@ -64,15 +64,15 @@
 	if err != nil || got.Version != snap.Version() || len(got.Deltas) != 3 {
 		t.Fatal(got, err)
 	}
-	r.served.SetLimit(1e-9) // nothing comes back while the test runs
-	r.served.AllowN(time.Now(), int(r.served.Tokens()))
+	r.pullLimiter.SetLimit(1e-9) // no tokens are added while the test runs
+	r.pullLimiter.AllowN(time.Now(), int(r.pullLimiter.Tokens()))
 	a, err = r.ServePull(req)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var busy *BusyError
 	if _, err := answerFromProto(a); !errors.As(err, &busy) || busy.RetryAfter != retryAfter {
-		t.Fatalf("over the cap: %v", err)
+		t.Fatalf("over the limit: %v", err)
 	}
 	req.HeadOnly = true
 	if a, err = r.ServePull(req); err != nil || a.RetryAfterMs != 0 {
@@ -80,13 +80,13 @@
 	}
 }
 
-// A peer that asks about a snapshot is told over the wire whether the version
-// that it holds is in the history, and is never told so of another history's.
-func TestAnswerTellsWhetherItKnowsTheHeldVersion(t *testing.T) {
+// Guards the answer to a pull for a snapshot against a wrong KnowsHeld: it must be true over the
+// wire only for a held version in this history.
+func TestPullAnswerReportsHeldVersionInHistory(t *testing.T) {
 	r, _ := newTestRunner(t)
 	ds, snap := history(t, "booking", 3)
 	other, _ := history(t, "other", 3)
-	r.Heard(tell(t, ds))
+	r.Heard(pushEnvelope(t, ds))
 	v := snap.Version()
 	for _, c := range []struct {
 		pull Pull
@@ -108,53 +108,51 @@
 	}
 }
 
-// What an operator would see: nodes that run out of memory, one after the other.
-// One broken or captured VM tells each a few kilobytes that unpack to tens of
-// megabytes, on many connections at once. What is told is small; the rest is
-// pulled, from one peer at a time.
-func TestToldBombIsDropped(t *testing.T) {
+// Guards nodes against running out of memory. One faulty or compromised VM pushes a few kilobytes
+// that decompress to tens of megabytes to each, over many connections at once. Pushes are small;
+// larger changes are pulled from one peer at a time.
+func TestDecompressionBombIsDropped(t *testing.T) {
 	r, _ := newTestRunner(t)
 	ds, _ := history(t, "booking", 1)
 	bomb := *ds[0]
 	bomb.Note = strings.Repeat("x", 20<<20)
-	e := tell(t, []*config.Delta{&bomb})
+	e := pushEnvelope(t, []*config.Delta{&bomb})
 	if n := len(e.Changes.Data); n > 8<<10 {
-		t.Fatalf("the bomb has %d bytes", n)
+		t.Fatalf("the decompression bomb has %d bytes", n)
 	}
 	r.Heard(e)
 	if got := r.Stamp().Version; got.Number != 0 {
-		t.Fatalf("took %s from a bomb", got)
+		t.Fatalf("applied %s from a decompression bomb", got)
 	}
 	large := *ds[0]
 	large.Note = strings.Repeat("x", TimeProfile().MaxInlineBytes)
-	r.Heard(tell(t, []*config.Delta{&large}))
+	r.Heard(pushEnvelope(t, []*config.Delta{&large}))
 	if r.Stamp().Version != ds[0].To {
-		t.Fatal("a change of the size that nodes tell was not used")
+		t.Fatal("a change within Profile.MaxInlineBytes was not applied")
 	}
 }
 
 func TestRunnerDropsMalformedMessages(t *testing.T) {
 	r, _ := newTestRunner(t)
 	ds, _ := history(t, "booking", 1)
-	bad := tell(t, ds)
+	bad := pushEnvelope(t, ds)
 	bad.Hash = bad.Hash[:5]
 	r.Heard(bad)
 	if r.Stamp().Version.Number != 0 {
-		t.Fatal("a message with a short hash was used")
+		t.Fatal("a message with a short hash was applied")
 	}
 	if _, err := r.ServePull(&peerpb.PullRequest{Version: 7, Hash: []byte("x")}); !errors.Is(err, ErrBadAnswer) {
 		t.Fatal(err)
 	}
-	r.Heard(tell(t, ds))
+	r.Heard(pushEnvelope(t, ds))
 	if r.Stamp().Version != ds[0].To {
-		t.Fatal("a good message was not used")
+		t.Fatal("a valid message was not applied")
 	}
 }
 
-// What an operator would see: handover says that a node runs the version that
-// its build cannot run. The node holds and passes on the newer one, and says
-// how far what it runs lies behind.
-func TestVersionThatCannotRunIsHeldAndSaidToBeBehind(t *testing.T) {
+// Guards the handover against showing a version as running that the node's build cannot run. The
+// node holds and distributes it, and reports how far the version in force lags.
+func TestUnrunnableVersionIsHeldAndReportedBehind(t *testing.T) {
 	r, store := newTestRunner(t)
 	ds, snap := history(t, "booking", 1)
 	odd := config.Object{Key: config.Key{Kind: config.KindTarget, Name: "x"}, Raw: []byte(`{"from_a_newer_build":1}`)}
@@ -162,10 +160,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Heard(tell(t, append(ds, next)[:1]))
-	r.flying.Wait()
-	r.Heard(tell(t, append(ds, next)))
-	r.flying.Wait()
+	r.Heard(pushEnvelope(t, append(ds, next)[:1]))
+	r.inFlight.Wait()
+	r.Heard(pushEnvelope(t, append(ds, next)))
+	r.inFlight.Wait()
 	if s := r.Stamp(); s.Version != next.To || s.Behind != 1 {
 		t.Fatalf("stamp %+v", s)
 	}
@@ -174,8 +172,8 @@
 	}
 }
 
-// FuzzHeard: whatever a peer sends, in a message or as an answer, nothing comes
-// into force that is not a whole version under its own hash.
+// FuzzHeard checks that, whatever a peer sends in a message or an answer, only a whole version
+// under its own hash comes into force.
 func FuzzHeard(f *testing.F) {
 	s, d, err := config.Empty().Next([]config.Object{config.EncodeService(config.Service{Name: "booking", Team: "t"})}, nil)
 	if err != nil {
@@ -193,7 +191,7 @@
 		changes := &peerpb.Packed{Data: data}
 		_, err := answerFromProto(&peerpb.PullResponse{Version: number, Hash: hash, Changes: changes})
 		if err != nil && !errors.Is(err, ErrBadAnswer) {
-			t.Errorf("a bad answer is told as %v", err)
+			t.Errorf("an invalid answer gives the error %v", err)
 		}
 		r, store := newTestRunner(t)
 		r.Heard(&peerpb.Envelope{From: from, Version: number, Hash: hash, Behind: behind, Changes: changes})
--- a/internal/distribute/settings.go
+++ b/internal/distribute/settings.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Profile weighs convergence time against control bytes.
+// Profile trades convergence time against control traffic.
 type Profile struct {
 	Name string
 	// HeadInterval is how often a feeder reads the platform's head.
 	HeadInterval time.Duration
-	// PushDelay is how long a node collects versions before it tells them.
+	// PushDelay is how long a node collects versions before it pushes them.
 	PushDelay time.Duration
-	// FanOut is how many nodes of its own data centre a node tells.
+	// FanOut is the number of nodes of its own data centre to which a node pushes.
 	FanOut int
-	// PushAcrossDCs lets the first node of each data centre tell those of the
-	// others too, so that a version does not depend on its origin's links.
+	// PushAcrossDCs makes the first node of each data centre push to those of the others too, so
+	// that distribution does not depend on the links of the version's origin.
 	PushAcrossDCs bool
-	// MaxInlineBytes is the size up to which changes ride in a tell; zero means
-	// that nodes always pull.
+	// MaxInlineBytes is the maximum size of changes included in a push; with zero, nodes always
+	// pull.
 	MaxInlineBytes int
-	// PullDelay is how long a node that learns of a newer version from a
-	// membership message waits for the tell that is likely on its way.
+	// PullDelay is how long a node that learns of a newer version from a membership message waits
+	// for the push that is probably on its way.
 	PullDelay time.Duration
 }
 
-// TimeProfile returns the profile for meshes that weigh convergence time more.
+// TimeProfile returns the profile that favours a short convergence time.
 func TimeProfile() Profile {
 	return Profile{
 		Name: "time", HeadInterval: time.Second, FanOut: 4, PushAcrossDCs: true, MaxInlineBytes: 4 << 10,
@@ -30,7 +30,7 @@
 	}
 }
 
-// BytesProfile returns the profile for meshes that weigh control bytes more.
+// BytesProfile returns the profile that favours low control traffic.
 func BytesProfile() Profile {
 	return Profile{
 		Name: "bytes", HeadInterval: 3 * time.Second, PushDelay: 500 * time.Millisecond,
@@ -38,28 +38,27 @@
 	}
 }
 
-// Settings bound what a State remembers and how it retries.
+// Settings bound what a State keeps and how it retries.
 type Settings struct {
 	Self       string
 	DataCentre string
 	Profile    Profile
-	// QueryPeers is how many peers a starting node asks what it held.
+	// QueryPeers is the number of peers that a starting node queries for the version it ran.
 	QueryPeers int
-	// AloneAfter is how long a starting node looks for a second witness, or
-	// for as many peers as it wants, before it makes do with one of them. A
-	// node that can ask nobody at all stays not ready, however long.
+	// AloneAfter is how long a starting node waits for a second witness, or for QueryPeers answers,
+	// before a single one is enough. A node without any answer stays not ready.
 	AloneAfter time.Duration
 	// MaxDeltas and MaxDeltaBytes bound the deltas kept to serve pulls.
 	MaxDeltas     int
 	MaxDeltaBytes int
-	// MaxClaims bounds the peers whose newer versions are remembered.
+	// MaxClaims bounds the peers whose newer versions are kept.
 	MaxClaims int
-	// MaxPeers bounds the peers whose highest version is remembered.
+	// MaxPeers bounds the peers whose highest version is kept.
 	MaxPeers int
-	// RetryBase and RetryCap bound the full-jitter waits between attempts.
+	// RetryBase and RetryCap bound the full-jitter delays between attempts.
 	RetryBase time.Duration
 	RetryCap  time.Duration
-	// BanTime is how long a peer that sent a bad answer is not asked.
+	// BanTime is how long a peer that sent an invalid answer is ignored.
 	BanTime time.Duration
 }
 
--- a/internal/distribute/spread_test.go
+++ b/internal/distribute/spread_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// scenario is one way to measure what changes cost, in virtual time.
+// scenario describes one measurement of the cost of changes, in virtual time.
 type scenario struct {
-	nodes   int
-	profile Profile
-	lost    int // percent of the nodes that die just before each change
-	burst   int // changes, 100 ms apart; one when zero
-	random  bool
-	noStand bool
+	nodes      int
+	profile    Profile
+	lost       int // percent of nodes that die just before each change
+	burst      int // changes, 100 ms apart; one when zero
+	randomPush bool
+	noBypass   bool
 }
 
 func withoutPush(p Profile) Profile {
@@ -23,29 +23,28 @@
 	return p
 }
 
-// BenchmarkSpread compares push with pull in both profiles by fleet size. The
-// baseline, every node polling the platform for the whole snapshot each
-// second, is reported beside them.
+// BenchmarkSpread compares inline deltas with pulls in both profiles by fleet size. It also reports
+// the baseline in which every node polls the whole snapshot from the platform each second.
 func BenchmarkSpread(b *testing.B) {
 	for _, n := range []int{12, 36, 108, 240, 1200} {
 		for _, p := range []Profile{TimeProfile(), withoutPush(TimeProfile()), BytesProfile(), withoutPush(BytesProfile())} {
-			run(b, fmt.Sprintf("nodes=%d/%s", n, p.Name), scenario{nodes: n, profile: p})
+			runScenario(b, fmt.Sprintf("nodes=%d/%s", n, p.Name), scenario{nodes: n, profile: p})
 		}
 	}
 }
 
-// BenchmarkTree compares the tree with telling random nodes, and standing in
-// for lost nodes with leaving it to the membership's messages.
+// BenchmarkTree compares the tree with pushes to random nodes, and bypassing unreachable nodes with
+// leaving them to the membership's messages.
 func BenchmarkTree(b *testing.B) {
 	base := scenario{nodes: 240, profile: TimeProfile()}
 	lost := scenario{nodes: 240, profile: TimeProfile(), lost: 10}
-	random, randomLost, noStand := base, lost, lost
-	random.random, randomLost.random, noStand.noStand = true, true, true
-	run(b, "tree", base)
-	run(b, "random", random)
-	run(b, "lost=10%/tree", lost)
-	run(b, "lost=10%/tree-without-standing-in", noStand)
-	run(b, "lost=10%/random", randomLost)
+	randomPush, randomLost, noBypass := base, lost, lost
+	randomPush.randomPush, randomLost.randomPush, noBypass.noBypass = true, true, true
+	runScenario(b, "tree", base)
+	runScenario(b, "random", randomPush)
+	runScenario(b, "lost=10%/tree", lost)
+	runScenario(b, "lost=10%/tree-without-standing-in", noBypass)
+	runScenario(b, "lost=10%/random", randomLost)
 }
 
 // BenchmarkFanOut compares fan-outs with and without lost nodes.
@@ -53,8 +52,8 @@
 	for _, p := range []Profile{TimeProfile(), BytesProfile()} {
 		for _, f := range []int{2, 4, 8, 16} {
 			p.FanOut = f
-			run(b, fmt.Sprintf("%s/%d", p.Name, f), scenario{nodes: 1200, profile: p})
-			run(b, fmt.Sprintf("%s/%d/lost=10%%", p.Name, f), scenario{nodes: 240, profile: p, lost: 10})
+			runScenario(b, fmt.Sprintf("%s/%d", p.Name, f), scenario{nodes: 1200, profile: p})
+			runScenario(b, fmt.Sprintf("%s/%d/lost=10%%", p.Name, f), scenario{nodes: 240, profile: p, lost: 10})
 		}
 	}
 }
@@ -62,11 +61,11 @@
 // BenchmarkBurst compares the profiles on ten changes within a second.
 func BenchmarkBurst(b *testing.B) {
 	for _, p := range []Profile{TimeProfile(), BytesProfile()} {
-		run(b, p.Name, scenario{nodes: 240, profile: p, burst: 10})
+		runScenario(b, p.Name, scenario{nodes: 240, profile: p, burst: 10})
 	}
 }
 
-func run(b *testing.B, name string, s scenario) {
+func runScenario(b *testing.B, name string, s scenario) {
 	b.Run(name, func(b *testing.B) {
 		for range b.N {
 			measure(b, s)
@@ -83,9 +82,9 @@
 
 func measure(b *testing.B, s scenario) {
 	m := newMesh(s.nodes, measuredDCs, 7, func(id, dc string) Settings { return Defaults(id, dc, s.profile) })
-	m.random, m.noStand = s.random, s.noStand
+	m.randomPush, m.noBypass = s.randomPush, s.noBypass
 	for range services {
-		m.change(nil)
+		m.commitChange(nil)
 	}
 	m.run(20 * time.Second)
 	if !m.converged() {
@@ -95,10 +94,10 @@
 	reads, changes := m.reads, 0
 	var waits []time.Duration
 	for range measuredRounds {
-		lost := m.loseSome(s.lost)
+		lost := m.killRandom(s.lost)
 		started := make(map[uint64]time.Time)
 		for range max(s.burst, 1) {
-			d := m.change(m.liveNode())
+			d := m.commitChange(m.liveNode())
 			started[d.To.Number] = m.now
 			changes++
 			m.run(100 * time.Millisecond)
@@ -127,8 +126,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// loseSome kills a part of the nodes without the view showing it yet.
-func (m *mesh) loseSome(percent int) []string {
+// killRandom kills a percentage of the nodes before the view shows it.
+func (m *mesh) killRandom(percent int) []string {
 	var out []string
 	for _, i := range m.rng.Perm(len(m.ids))[:len(m.ids)*percent/100] {
 		m.kill(m.ids[i])
@@ -145,8 +144,8 @@
 	}
 }
 
-// waits returns how long each version took to come into force at each node. A
-// node that took several at once has them from the moment of the last one.
+// waits returns how long each version took to come into force at each node. A node that got several
+// at once counts them all from the time of the last one.
 func (m *mesh) waits(b *testing.B, started map[uint64]time.Time) []time.Duration {
 	var out []time.Duration
 	for _, id := range m.ids {
@@ -158,9 +157,9 @@
 			b.Fatalf("%s is behind", id)
 		}
 		for v, at := range started {
-			for ; n.force[v].IsZero(); v++ {
+			for ; n.inForceAt[v].IsZero(); v++ {
 			}
-			out = append(out, n.force[v].Sub(at))
+			out = append(out, n.inForceAt[v].Sub(at))
 		}
 	}
 	return out
--- a/internal/distribute/state.go
+++ b/internal/distribute/state.go
@@ -8,35 +8,35 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// State decides what one node does to hold the newest version and to pass it
-// on. It is not safe for concurrent use, and does no I/O.
+// State decides how one node obtains the newest version and distributes it. It is not safe for
+// concurrent use, and does no I/O.
 type State struct {
 	set   Settings
 	chain *chain
 
 	started time.Time
 	inForce uint64 // number of the version that the config.Store runs
-	// confirmed and heardAt say how old what the node knows is.
-	confirmed Confirmation
-	heardAt   time.Time // the last message of any peer
-	// ticked says that the membership has made first contact, or given up.
+	// confirmed and lastMessageAt tell how old this node's information is.
+	confirmed     Confirmation
+	lastMessageAt time.Time // last message of any peer
+	// ticked is set once the membership has made first contact, or given up.
 	ticked bool
 
-	claims      map[string]*claim    // newer versions, by the peer that told
-	discredited map[string]time.Time // peers not to believe until then
-	held        map[string]uint64    // highest version seen in force, by peer
-	foreign     map[string]uint64    // highest version of another history, by peer
-	pull        pulling
-	jump        *jump
+	claims      map[string]*claim    // newer versions, by the peer that reported them
+	bannedUntil map[string]time.Time // end of the ban, by peer
+	peerInForce map[string]uint64    // highest version seen in force, by peer
+	peerForeign map[string]uint64    // highest version of another history, by peer
+	pull        activePull
+	pending     *pendingSnapshot
 
-	tell  telling
-	feed  feeding
-	start starting
+	push    pushState
+	feed    platformFeed
+	startup startupState
 
-	reported  map[string]config.Version // last Finding by kind and source
+	reported  map[string]config.Version // last finding, by kind and source
 	conflicts []*Conflict
 
-	// The arguments of the step under way.
+	// The arguments of the current step.
 	now  time.Time
 	rng  *rand.Rand
 	view *membership.View
@@ -50,16 +50,16 @@
 		chain:       newChain(set.MaxDeltas, set.MaxDeltaBytes),
 		started:     now,
 		claims:      make(map[string]*claim),
-		discredited: make(map[string]time.Time),
-		held:        make(map[string]uint64),
-		foreign:     make(map[string]uint64),
+		bannedUntil: make(map[string]time.Time),
+		peerInForce: make(map[string]uint64),
+		peerForeign: make(map[string]uint64),
 		reported:    make(map[string]config.Version),
-		start:       starting{asks: make(map[string]*ask)},
+		startup:     startupState{queries: make(map[string]*peerQuery)},
 	}
 }
 
-// Step takes one event and returns what to do. The view is the membership as
-// this node knows it.
+// Step handles one event and returns the actions to perform. The view is the membership as known to
+// this node.
 func (s *State) Step(now time.Time, rng *rand.Rand, view *membership.View, ev Event) []Action {
 	s.now, s.rng, s.view, s.out = now, rng, view, nil
 	switch e := ev.(type) {
@@ -70,25 +70,25 @@
 	case PlatformRead:
 		s.platformRead(e)
 	case VersionReceived:
-		s.heard(e)
+		s.versionReceived(e)
 	case Pulled:
 		s.pulled(e)
 	case Queried:
-		s.asked(e)
+		s.queried(e)
 	case PushDone:
-		s.told(e)
+		s.pushDone(e)
 	case Accepted:
 		s.accepted(e.Delta)
 	case Offered:
 		s.offered(e)
 	}
-	s.confirmRead()
-	s.scheduleTell()
-	s.scheduleFeed()
-	s.scheduleAsks()
-	s.scheduleJump()
+	s.confirmFromRead()
+	s.schedulePush()
+	s.schedulePlatformRead()
+	s.scheduleQueries()
+	s.scheduleWitness()
 	s.schedulePull()
-	s.judgeReady()
+	s.updateReady()
 	return s.out
 }
 
@@ -101,10 +101,10 @@
 // Conflicts returns the latest conflicts, oldest first.
 func (s *State) Conflicts() []*Conflict { return append([]*Conflict(nil), s.conflicts...) }
 
-// Serve answers a peer that holds version and asks for what follows it, or
-// with headOnly just for the rest of the answer.
+// Serve answers a peer that holds version and requests what follows it; with headOnly the answer
+// has no changes.
 func (s *State) Serve(view *membership.View, peer string, version config.Version, headOnly bool) Answer {
-	a := Answer{Version: s.Version(), YouHeld: s.seenAt(view, peer), Ready: s.start.done}
+	a := Answer{Version: s.Version(), YouHeld: s.seenInForce(view, peer), Ready: s.startup.done}
 	a.OtherHistory = s.chain.relation(version) == relationOther
 	if headOnly || a.OtherHistory || version.Number >= a.Version.Number {
 		return a
@@ -117,34 +117,34 @@
 	return a
 }
 
-// InHistory reports whether v is certain to be in the history of the version held.
+// InHistory reports whether v is known to be in the history of the version held.
 func (s *State) InHistory(v config.Version) bool { return s.chain.relation(v) == relationHeld }
 
-// seenAt returns the highest version seen in force at a peer.
+// seenInForce returns the highest version seen in force at a peer.
 //
-// A peer that ran another history, as of a table that was restored by mistake,
-// is started again to mend that. What it ran of the other history may be higher
-// than any version that there is, and must not keep it out of service then.
-func (s *State) seenAt(view *membership.View, peer string) uint64 {
-	n := s.held[peer]
+// A peer that ran another history, for example of a table restored by mistake, is restarted to fix
+// that. The version it ran of that history may be higher than any existing one, and must not keep
+// it from becoming ready.
+func (s *State) seenInForce(view *membership.View, peer string) uint64 {
+	n := s.peerInForce[peer]
 	if view != nil {
 		if r := view.Records[peer]; r != nil {
 			n = max(n, r.Applied)
 		}
 	}
-	if n <= s.foreign[peer] {
+	if n <= s.peerForeign[peer] {
 		return min(n, s.Version().Number)
 	}
 	return n
 }
 
-// noteForeign remembers that a peer ran a version of another history.
-func (s *State) noteForeign(source string, seen config.Version) {
+// recordForeign records that a peer ran a version of another history.
+func (s *State) recordForeign(source string, seen config.Version) {
 	if source == SourcePlatform || source == s.set.Self {
 		return
 	}
-	if _, known := s.foreign[source]; known || len(s.foreign) < s.set.MaxPeers {
-		s.foreign[source] = max(s.foreign[source], seen.Number)
+	if _, known := s.peerForeign[source]; known || len(s.peerForeign) < s.set.MaxPeers {
+		s.peerForeign[source] = max(s.peerForeign[source], seen.Number)
 	}
 }
 
@@ -153,7 +153,7 @@
 // maxConflicts bounds the conflicts kept for the handover.
 const maxConflicts = 8
 
-// maxReported bounds the findings remembered so as not to repeat them.
+// maxReported bounds the findings kept for deduplication.
 const maxReported = 256
 
 // report emits a finding unless it is the last one of its kind and source.
@@ -170,9 +170,9 @@
 	return true
 }
 
-// conflict takes in that a source has a version of another history.
-func (s *State) conflict(source string, seen config.Version) {
-	s.noteForeign(source, seen)
+// recordConflict handles a source's version of another history.
+func (s *State) recordConflict(source string, seen config.Version) {
+	s.recordForeign(source, seen)
 	s.reportConflict(source, seen)
 }
 
@@ -187,7 +187,7 @@
 	}
 }
 
-// jitter returns a time in [0, d): full jitter.
+// jitter returns a random duration in [0, d): full jitter.
 func (s *State) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
@@ -195,11 +195,11 @@
 	return time.Duration(s.rng.Int64N(int64(d)))
 }
 
-// backoff returns the full-jitter wait after a number of failures in a row.
+// backoff returns the full-jitter delay after a number of failures in a row.
 func (s *State) backoff(fails int) time.Duration {
 	d := s.set.RetryBase << min(fails, maxShift)
 	return s.jitter(min(d, s.set.RetryCap))
 }
 
-// maxShift keeps a backoff from overflowing.
+// maxShift keeps backoff from overflowing.
 const maxShift = 16
--- a/internal/distribute/storm_test.go
+++ b/internal/distribute/storm_test.go
@@ -6,30 +6,29 @@
 	"time"
 )
 
-// BenchmarkStorm kills three quarters of the nodes and starts them again at
-// once, with the platform up and down, in virtual time. The baseline, every
-// starting node reading the platform, would be two reads for each.
+// BenchmarkStorm kills three quarters of the nodes and restarts them at once, with the platform up
+// and down, in virtual time. In the baseline every starting node reads the platform twice.
 func BenchmarkStorm(b *testing.B) {
 	for _, down := range []bool{false, true} {
 		for _, n := range []int{36, 108, 240, 1200} {
 			b.Run(fmt.Sprintf("down=%t/nodes=%d", down, n), func(b *testing.B) {
 				for range b.N {
-					storm(b, n, down)
+					restartStorm(b, n, down)
 				}
 			})
 		}
 	}
 }
 
-func storm(b *testing.B, n int, down bool) {
+func restartStorm(b *testing.B, n int, platformDown bool) {
 	m := newMesh(n, measuredDCs, 7, func(id, dc string) Settings { return Defaults(id, dc, TimeProfile()) })
 	for range services {
-		m.change(nil)
+		m.commitChange(nil)
 	}
 	m.run(20 * time.Second)
-	lost := m.loseSome(75)
+	lost := m.killRandom(75)
 	m.refreshView()
-	m.down = down
+	m.platformDown = platformDown
 	m.run(5 * time.Second)
 	for _, id := range lost {
 		m.startNode(id)
@@ -44,8 +43,8 @@
 		m.run(time.Second)
 		peak = max(peak, m.reads-reads)
 	}
-	if m.fault != "" || !m.converged() {
-		b.Fatal(m.fault, describe(m))
+	if m.violation != "" || !m.converged() {
+		b.Fatal(m.violation, describe(m))
 	}
 	b.ReportMetric(m.now.Sub(start).Seconds(), "recover_s")
 	b.ReportMetric(float64(peak), "peak_reads/s")
--- a/internal/distribute/tree.go
+++ b/internal/distribute/tree.go
@@ -10,12 +10,12 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// feedersPerDC is how many nodes of a data centre read the platform's head.
-// One would leave a gap until its loss is noticed.
+// feedersPerDC is the number of nodes of a data centre that read the platform's head. A single one
+// would leave a gap until its loss is detected.
 const feedersPerDC = 2
 
-// ranked orders ids by rendezvous score for the key, highest first. The
-// library go-rendezvous only finds the first of them.
+// ranked orders ids by rendezvous score for the key, highest first. The library go-rendezvous
+// returns only the first.
 func ranked(key string, ids []string) []string {
 	type scored struct {
 		id    string
@@ -42,8 +42,8 @@
 	return out
 }
 
-// live returns the IDs of live nodes by data centre, this node among them.
-func live(v *membership.View, self, dc string) map[string][]string {
+// liveByDC returns the IDs of live nodes by data centre, including this node.
+func liveByDC(v *membership.View, self, dc string) map[string][]string {
 	out := map[string][]string{dc: {self}}
 	if v == nil {
 		return out
@@ -56,14 +56,14 @@
 	return out
 }
 
-// feederChoice returns the nodes among which the feeders of data centre dc are
-// chosen: the live ones, or with them the suspect ones where those are most.
+// feederCandidates returns the nodes among which the feeders of data centre dc are chosen: the live
+// ones, and the suspect ones too where these are the majority.
 //
-// A node that is cut off from its neighbours suspects them all. If it chose
-// among the live ones, itself, each node would be a feeder, and the platform,
-// which it may still reach, would get a read a second from every one.
-func feederChoice(v *membership.View, self, dc string) (ids []string, unsure bool) {
-	ids = live(v, self, dc)[dc]
+// A node that is partitioned from its neighbours suspects them all. If it chose among live nodes,
+// it would be the only candidate; each such node would become a feeder, and the platform, which
+// they may still reach, would receive one read a second from every node.
+func feederCandidates(v *membership.View, self, dc string) (ids []string, mostSuspect bool) {
+	ids = liveByDC(v, self, dc)[dc]
 	if v == nil {
 		return ids, false
 	}
@@ -79,9 +79,9 @@
 	return append(ids, suspect...), true
 }
 
-// tree is the order in which a version passes through the live nodes. Nodes
-// whose views differ get slightly different trees; a node that falls between
-// them learns of the version from its next membership message.
+// tree is the order in which a version passes through the live nodes. Nodes with different views
+// get slightly different trees; a node missed because of this learns of the version from its next
+// membership message.
 type tree struct {
 	self   string
 	dc     string
@@ -92,7 +92,7 @@
 func newTree(s *Settings, v *membership.View, version config.Version) *tree {
 	t := &tree{
 		self: s.Self, dc: s.DataCentre, fanOut: s.Profile.FanOut,
-		order: live(v, s.Self, s.DataCentre),
+		order: liveByDC(v, s.Self, s.DataCentre),
 	}
 	key := string(version.Hash[:])
 	for dc, ids := range t.order {
@@ -101,7 +101,7 @@
 	return t
 }
 
-// children returns the nodes that id tells in its own data centre dc.
+// children returns the nodes to which id pushes in its own data centre dc.
 func (t *tree) children(dc, id string) []string {
 	order := t.order[dc]
 	i := slices.Index(order, id)
@@ -113,11 +113,11 @@
 	return order[from:to]
 }
 
-// first reports whether self is the first node of its data centre.
-func (t *tree) first() bool { return t.order[t.dc][0] == t.self }
+// isRoot reports whether self is the first node of its data centre.
+func (t *tree) isRoot() bool { return t.order[t.dc][0] == t.self }
 
-// firsts returns the first node of every data centre.
-func (t *tree) firsts() []string {
+// roots returns the first node of every data centre.
+func (t *tree) roots() []string {
 	var out []string
 	for _, ids := range t.order {
 		out = append(out, ids[0])
@@ -125,20 +125,20 @@
 	return out
 }
 
-// targets returns the nodes to tell: the children, and for a node that brings
-// the version into the mesh the first node of each data centre.
+// targets returns the nodes to push to: the children, and for a node that introduces the version to
+// the mesh the first node of each data centre.
 func (t *tree) targets(origin, cross bool) []string {
 	out := slices.Clone(t.children(t.dc, t.self))
-	if origin || (cross && t.first()) {
-		out = append(out, t.firsts()...)
+	if origin || (cross && t.isRoot()) {
+		out = append(out, t.roots()...)
 	}
 	slices.Sort(out)
 	out = slices.Compact(out)
 	return slices.DeleteFunc(out, func(id string) bool { return id == t.self })
 }
 
-// adopted returns the nodes to tell in place of one that cannot be reached.
-func (t *tree) adopted(lost string) []string {
+// bypassTargets returns the nodes to push to in place of one that cannot be reached.
+func (t *tree) bypassTargets(lost string) []string {
 	for dc, ids := range t.order {
 		if slices.Contains(ids, lost) {
 			return slices.DeleteFunc(slices.Clone(t.children(dc, lost)), func(id string) bool { return id == t.self })
--- a/internal/distribute/unconfirming_test.go
+++ b/internal/distribute/unconfirmed_reads_test.go
@@ -10,8 +10,8 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// checkReads checks that the platform is read no more often than by two feeders a data centre, and by
-// the others together about as one.
+// checkReads checks that the platform receives no more reads than two feeders per data centre, and
+// the others together about as one, would make.
 func (m *mesh) checkReads(t *testing.T, dcs int, during time.Duration) {
 	t.Helper()
 	m.reads = 0
@@ -21,16 +21,16 @@
 	}
 }
 
-// Guards the platform against nodes that read it without a pause while its answers confirm nothing:
-// heads older than the version held, as of a backup or a replica that lags.
-func TestOlderHeadsMakeNoStorm(t *testing.T) {
+// Guards the platform against continuous reads while its answers confirm nothing: heads older than
+// the version held, as from a backup or a lagging replica.
+func TestOlderHeadsBoundPlatformReads(t *testing.T) {
 	t.Parallel()
 	const dcs = 2
-	for _, set := range []func(id, dc string) Settings{timeProfile, bytesProfile} {
+	for _, set := range []func(id, dc string) Settings{timeSettings, bytesSettings} {
 		m := newMesh(48, dcs, 1, set)
-		m.change(nil)
+		m.commitChange(nil)
 		m.run(20 * time.Second)
-		m.change(nil)
+		m.commitChange(nil)
 		m.run(15 * time.Second)
 		m.headLag = 1
 		m.run(20 * time.Second)
@@ -38,13 +38,13 @@
 	}
 }
 
-// Guards the platform against the same where it holds a table of another history.
-func TestOtherHistoryMakesNoStorm(t *testing.T) {
+// Guards the platform against continuous reads while it holds a table of another history.
+func TestOtherHistoryBoundsPlatformReads(t *testing.T) {
 	t.Parallel()
 	const dcs = 2
-	for _, set := range []func(id, dc string) Settings{timeProfile, bytesProfile} {
+	for _, set := range []func(id, dc string) Settings{timeSettings, bytesSettings} {
 		m := newMesh(48, dcs, 1, set)
-		m.change(nil)
+		m.commitChange(nil)
 		m.run(20 * time.Second)
 		m.log, _ = history(t, "other", 3)
 		m.run(20 * time.Second)
@@ -52,28 +52,28 @@
 	}
 }
 
-// Guards a data centre of which the platform answers one node alone, the last to stand in for the
-// feeders: what that one finds has to reach all others in time, again and again.
-func TestLastStandInServesItsDataCentre(t *testing.T) {
+// Guards a data centre in which the platform answers only the last node to make a fallback read:
+// what it reads has to reach all others in time, repeatedly.
+func TestLastFallbackReaderServesDataCentre(t *testing.T) {
 	t.Parallel()
-	for _, set := range []func(id, dc string) Settings{timeProfile, bytesProfile} {
+	for _, set := range []func(id, dc string) Settings{timeSettings, bytesSettings} {
 		for seed := range uint64(3) {
 			m := newMesh(48, 1, seed, set)
-			m.change(nil)
+			m.commitChange(nil)
 			m.run(20 * time.Second)
 			answered := m.lastRanked("dc0")
-			m.silent = func(n *node) bool { return n.id != answered }
+			m.platformSilent = func(n *node) bool { return n.id != answered }
 			for i := range 5 {
 				m.run(time.Duration(i) * 1700 * time.Millisecond)
-				m.checkInTime(t)
+				m.checkConvergesInTime(t)
 			}
 		}
 	}
 }
 
-// Guards a node that reads in place of its feeders against waiting for its next turn where the
-// head tells of a newer version and the log can't be read.
-func TestLogThatCannotBeReadIsAskedForAgain(t *testing.T) {
+// Guards a fallback reader against waiting for its next turn when the head shows a newer version
+// and the log cannot be read.
+func TestFailedLogReadIsRetried(t *testing.T) {
 	ds, _ := history(t, "booking", 2)
 	var ids []string
 	for i := range 48 {
@@ -87,11 +87,11 @@
 		}}
 	}
 	now, rng := time.Unix(1_700_000_000, 0), rand.New(rand.NewPCG(1, 1))
-	s := New(timeProfile(self, "dc"), now)
+	s := New(timeSettings(self, "dc"), now)
 	if !s.applyDeltas(SourcePlatform, ds[:1]) {
-		t.Fatal("the history can't be applied")
+		t.Fatal("the history cannot be applied")
 	}
-	s.start.done = true
+	s.startup.done = true
 	step := func(after time.Duration, ev Event, want Action) {
 		t.Helper()
 		now = now.Add(after)
--- a/internal/distribute/wire.go
+++ b/internal/distribute/wire.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// compressFrom is the size from which changes are compressed; smaller
-	// ones grow by it or gain a few bytes.
-	compressFrom = 512
-	// maxUnpacked bounds what a peer can make this node hold in memory by a
-	// small message that decompresses to a large one.
-	maxUnpacked = 32 << 20
-	// maxTold bounds the same for changes that a peer tells unasked. A node
-	// pulls from one peer at a time, but hears any number at once. Nodes tell
-	// no more than Profile.MaxInlineBytes, some kilobytes.
-	maxTold = 256 << 10
+	// compressMinBytes is the size from which changes are compressed; smaller ones gain little or
+	// grow.
+	compressMinBytes = 512
+	// maxUnpackedBytes bounds the memory that a small message can take when it decompresses to a
+	// large one.
+	maxUnpackedBytes = 32 << 20
+	// maxPushedBytes is the same bound for pushed changes. A node pulls from one peer at a time,
+	// but receives pushes from any number at once. Nodes push no more than Profile.MaxInlineBytes,
+	// some kilobytes.
+	maxPushedBytes = 256 << 10
 )
 
 var (
-	encoder = must(zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<20)))
-	decoder = must(zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxUnpacked)))
-	told    = must(zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxTold)))
+	encoder     = must(zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<20)))
+	decoder     = must(zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxUnpackedBytes)))
+	pushDecoder = must(zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPushedBytes)))
 )
 
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic("distribute: " + err.Error()) // only wrong options do this
+		panic("distribute: " + err.Error()) // only invalid options cause this
 	}
 	return v
 }
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("distribute: encode changes: %w", err)
 	}
-	if len(data) < compressFrom {
+	if len(data) < compressMinBytes {
 		return &peerpb.Packed{Data: data}, nil
 	}
 	small := encoder.EncodeAll(data, nil)
@@ -62,21 +62,20 @@
 	return &peerpb.Packed{Data: small, Zstd: true}, nil
 }
 
-// Unpack decodes what Pack made. Every error is an ErrBadAnswer.
+// Unpack decodes the output of Pack. Every error wraps ErrBadAnswer.
 func Unpack(p *peerpb.Packed) ([]*config.Delta, *config.Snapshot, error) {
-	return unpack(p, decoder, maxUnpacked)
+	return unpack(p, decoder, maxUnpackedBytes)
 }
 
-// UnpackPushed is Unpack for changes that a peer sent unasked, with a lower bound on
-// their size.
+// UnpackPushed is Unpack for pushed changes, with a smaller size limit.
 func UnpackPushed(p *peerpb.Packed) ([]*config.Delta, error) {
-	ds, _, err := unpackTold(p)
+	ds, _, err := unpackPushed(p)
 	return ds, err
 }
 
-// unpackTold is Unpack for changes that were not asked for.
-func unpackTold(p *peerpb.Packed) ([]*config.Delta, *config.Snapshot, error) {
-	return unpack(p, told, maxTold)
+// unpackPushed is Unpack with the size limit for pushed changes.
+func unpackPushed(p *peerpb.Packed) ([]*config.Delta, *config.Snapshot, error) {
+	return unpack(p, pushDecoder, maxPushedBytes)
 }
 
 func unpack(p *peerpb.Packed, d *zstd.Decoder, limit int) ([]*config.Delta, *config.Snapshot, error) {
@@ -191,8 +190,8 @@
 	return h, nil
 }
 
-// versionFromProto reads a version from a message. An absent hash is allowed
-// for version 0 alone, which has only one.
+// versionFromProto decodes a version from a message. The hash may be absent only for version 0,
+// which has a single hash.
 func versionFromProto(number uint64, hash []byte) (config.Version, error) {
 	if number == 0 {
 		return config.Empty().Version(), nil
--- a/internal/distribute/wire_test.go
+++ b/internal/distribute/wire_test.go
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 		if gotSnap.Version() != snap.Version() {
-			t.Fatal("the snapshot changed on the way")
+			t.Fatal("the decoded snapshot differs")
 		}
 		head := config.Empty()
 		for i, d := range gotDeltas {
@@ -32,25 +32,25 @@
 				t.Fatal(err)
 			}
 			if fmt.Sprint(d.By, d.Note, d.AtMS) != fmt.Sprint(ds[i].By, ds[i].Note, ds[i].AtMS) {
-				t.Fatalf("delta %d lost its history", i)
+				t.Fatalf("delta %d lost its metadata", i)
 			}
 		}
 		if head.Version() != ds[n-1].To {
-			t.Fatal("the deltas lead elsewhere")
+			t.Fatal("the deltas lead to another version")
 		}
 	}
 }
 
-// A small message must not unpack to more memory than the bound.
+// Guards against a small message that decompresses to more memory than the limit.
 func TestUnpackIsBounded(t *testing.T) {
-	bomb := encoder.EncodeAll(bytes.Repeat([]byte{0}, maxUnpacked+1), nil)
+	bomb := encoder.EncodeAll(bytes.Repeat([]byte{0}, maxUnpackedBytes+1), nil)
 	if _, _, err := Unpack(&peerpb.Packed{Data: bomb, Zstd: true}); !errors.Is(err, ErrBadAnswer) {
 		t.Fatal(err)
 	}
 }
 
-// FuzzUnpack: whatever a peer sends gives an error that marks it as bad, or
-// changes that Pack can encode again.
+// FuzzUnpack checks that any input gives an error that marks it as invalid, or changes that Pack
+// can encode again.
 func FuzzUnpack(f *testing.F) {
 	s, d, err := config.Empty().Next([]config.Object{config.EncodeService(config.Service{Name: "booking", Team: "t"})}, nil)
 	if err != nil {
@@ -76,9 +76,9 @@
 	})
 }
 
-func TestChainKnowsItsPast(t *testing.T) {
+func TestChainRelations(t *testing.T) {
 	c := newChain(3, 1<<20)
-	c.maxPast = 3
+	c.maxAncestors = 3
 	ds, _ := history(t, "booking", 6)
 	other, _ := history(t, "other", 8)
 	for _, d := range ds {
@@ -99,7 +99,7 @@
 		t.Errorf("a newer version: %d", got)
 	}
 	if _, ok := c.since(ds[1].To); ok {
-		t.Error("deltas that were dropped are said to be there")
+		t.Error("dropped deltas were returned")
 	}
 	if got, ok := c.since(ds[3].To); !ok || !slices.Equal(got, ds[4:]) {
 		t.Errorf("since 4: %v %t", got, ok)
@@ -114,9 +114,9 @@
 	}
 }
 
-// A chain knows versions long after their deltas are gone, and those before a
-// jump, so that it can tell a node that was cut off that its history is this.
-func TestChainKnowsVersionsWithoutDeltas(t *testing.T) {
+// Guards a partitioned node against not learning that its version is in the history: a chain knows
+// versions long after their deltas are dropped, and those before a reset.
+func TestChainKeepsAncestorsWithoutDeltas(t *testing.T) {
 	c := newChain(1, 1<<20)
 	ds, _ := history(t, "booking", 4)
 	_, far := history(t, "booking", 9)
@@ -125,7 +125,7 @@
 			t.Fatal(err)
 		}
 	}
-	c.jump(far)
+	c.reset(far)
 	for _, d := range ds {
 		if got := c.relation(d.To); got != relationHeld {
 			t.Errorf("version %d: %d", d.To.Number, got)
@@ -137,23 +137,23 @@
 	}
 }
 
-// Every node of a data centre is told exactly once, whoever begins.
+// Guards against a node that gets a version twice, or not at all, from its data centre's tree.
 func TestTreeReachesEachNodeOnce(t *testing.T) {
-	b := newBench(t)
+	b := newTestBench(t)
 	for i := range 57 {
 		b.view.Records[fmt.Sprint("vm", i)] = b.view.Records["self"]
 	}
 	_, snap := history(t, "booking", 1)
 	tr := newTree(&b.s.set, b.view, snap.Version())
-	told := make(map[string]int)
+	pushes := make(map[string]int)
 	for _, id := range tr.order["dc"] {
 		for _, c := range tr.children("dc", id) {
-			told[c]++
+			pushes[c]++
 		}
 	}
 	for i, id := range tr.order["dc"] {
-		if want := min(i, 1); told[id] != want {
-			t.Errorf("place %d is told %d times", i, told[id])
+		if want := min(i, 1); pushes[id] != want {
+			t.Errorf("rank %d receives %d pushes", i, pushes[id])
 		}
 	}
 }
