--- a/internal/distribute/harness_test.go
+++ b/internal/distribute/harness_test.go
@@ -27,7 +27,7 @@
 	set            func(id, dc string) Settings
 	now            time.Time
 	rng            *rand.Rand
-	queue          agenda.Agenda
+	queue          agenda.EventQueue
 	nodes          map[string]*node
 	ids            []string
 	view           *membership.View
@@ -88,7 +88,7 @@
 }
 
 func (m *mesh) after(d time.Duration, f func()) {
-	m.queue.At(m.now.Add(d), func(time.Time) { f() })
+	m.queue.Schedule(m.now.Add(d), func(time.Time) { f() })
 }
 
 func (m *mesh) run(d time.Duration) {
@@ -102,10 +102,10 @@
 
 // refreshView makes a new view of the live nodes, the same for all.
 func (m *mesh) refreshView() {
-	v := &membership.View{Records: make(map[string]*membership.Seen)}
+	v := &membership.View{Records: make(map[string]*membership.ObservedRecord)}
 	for _, n := range m.nodes {
 		if n.up {
-			v.Records[n.id] = &membership.Seen{Record: membership.Record{
+			v.Records[n.id] = &membership.ObservedRecord{Record: membership.Record{
 				VM: membership.VM{ID: n.id, DataCentre: n.dc}, State: membership.VMAlive,
 			}}
 		}
--- a/internal/distribute/restart_test.go
+++ b/internal/distribute/restart_test.go
@@ -271,7 +271,7 @@
 	b.step(pushReceived("p", ours))
 	b.step(VersionReceived{Peer: "vm", Version: theirs[3].To, InForce: 4, Pushed: true})
 	b.step(Pulled{Peer: "vm", Answer: Answer{Version: theirs[3].To, OtherHistory: true}})
-	b.view.Records["vm"].Applied = 4 // its record from before the restart
+	b.view.Records["vm"].AppliedVersion = 4 // its record from before the restart
 	empty := config.Empty().Version()
 	if a := b.s.Serve(b.view, "vm", empty, true); a.YouHeld != 2 {
 		t.Fatalf("reports version %d as seen in force at the VM", a.YouHeld)
--- a/internal/distribute/roles_test.go
+++ b/internal/distribute/roles_test.go
@@ -11,10 +11,10 @@
 // version for over two seconds, because no other data centre pushed the newer one to it. One feeder
 // of each data centre has to push a version to one feeder of each other.
 func TestCrossDCTargetsCoverFirstFeeders(t *testing.T) {
-	v := &membership.View{Records: map[string]*membership.Seen{}}
+	v := &membership.View{Records: map[string]*membership.ObservedRecord{}}
 	for i := range 24 {
 		id := fmt.Sprint("vm", i)
-		v.Records[id] = &membership.Seen{Record: membership.Record{
+		v.Records[id] = &membership.ObservedRecord{Record: membership.Record{
 			VM: membership.VM{ID: id, DataCentre: fmt.Sprint("dc", i%4)}, State: membership.VMAlive,
 		}}
 	}
--- a/internal/distribute/runner.go
+++ b/internal/distribute/runner.go
@@ -72,7 +72,7 @@
 
 // Deps are the dependencies of a Runner.
 type Deps struct {
-	Views    *membership.Views
+	Views    *membership.CurrentView
 	Platform Platform
 	Client   Client
 	Store    Store
--- a/internal/limit/sim_test.go
+++ b/internal/limit/sim_test.go
@@ -92,7 +92,7 @@
 type simRun struct {
 	simulation
 	rand   *rand.Rand
-	agenda agenda.Agenda
+	agenda agenda.EventQueue
 	queue  *Queue
 	owners map[*Entry]*simCall
 	out    simResult
@@ -130,7 +130,7 @@
 	return r.out
 }
 
-func (r *simRun) at(t time.Time, do func(time.Time)) { r.agenda.At(t, do) }
+func (r *simRun) at(t time.Time, do func(time.Time)) { r.agenda.Schedule(t, do) }
 
 // arrivals schedules Poisson arrivals of a class, each scheduling the next.
 func (r *simRun) arrivals(c *simClass) {
@@ -188,12 +188,12 @@
 func (r *simRun) offer(now time.Time, sc *simCall) {
 	sc.attempts++
 	sc.sent = now
-	e := &Entry{Once: r.once[sc.class.Name]}
+	e := &Entry{OneShot: r.once[sc.class.Name]}
 	if !r.unknownSenders {
 		e.Caller = sc.caller
 	}
 	if !r.forget {
-		e.Asked = sc.asked
+		e.FirstAttempt = sc.asked
 	}
 	r.owners[e] = sc
 	refused := r.queue.Offer(now, e, sc.class.Name, sc.deadline)
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -114,7 +114,7 @@
 	c.peers, err = peer.NewClient(peer.ClientConfig{
 		Mesh: n.set.Mesh, VM: n.self.ID, TLS: c.trust.client(),
 		Limits: peer.DefaultLimits(), Metrics: c.peerSum, Dial: c.n.o.Dial,
-		Sender: c.sender, Heard: c.Heard,
+		Sender: c.sender, OnEnvelope: c.Heard,
 	})
 	if err != nil {
 		return err
@@ -122,9 +122,9 @@
 	n.self.Incarnation = uint64(time.Now().UnixMilli())
 	cfg := membership.DefaultConfig(n.self)
 	cfg.Seeds = n.set.Peers.Seeds
-	cfg.PushChanges = n.set.Profile == settings.ProfileTime
+	cfg.PushAllChanges = n.set.Profile == settings.ProfileTime
 	if n.o.Source != nil {
-		cfg = membership.Swift(cfg)
+		cfg = membership.FastConvergence(cfg)
 	}
 	if n.o.Membership != nil {
 		n.o.Membership(&cfg)
@@ -133,7 +133,7 @@
 	c.server = peer.NewServer(peer.ServerConfig{
 		Mesh: n.set.Mesh, VM: n.self.ID, TLS: c.trust.server(),
 		Limits: peer.DefaultLimits(), Metrics: c.peerSum, Log: telemetry.Part(n.log, "peer"),
-		Sender: c.sender, Membership: c.members, Spread: c, Submitter: peerCommands{c}, Alerts: alerts{n}, Reporter: n.reports, Rollouts: n.rollouts, Collector: n.workspaces,
+		Sender: c.sender, Membership: c.members, Distributor: c, Submitter: peerCommands{c}, Alerts: alerts{n}, Reporter: n.reports, Rollouts: n.rollouts, Collector: n.workspaces,
 	})
 	return nil
 }
@@ -198,9 +198,9 @@
 }
 
 // sender is what every message of this node carries.
-func (c *control) sender() peer.Sender {
+func (c *control) sender() peer.SenderInfo {
 	s := c.spread.Stamp()
-	return peer.Sender{Incarnation: c.n.self.Incarnation, Version: s.Version, Behind: s.Behind, Confirmed: s.Confirmed}
+	return peer.SenderInfo{Incarnation: c.n.self.Incarnation, Version: s.Version, Behind: s.Behind, Confirmed: s.Confirmed}
 }
 
 // start serves the peers and starts the work of control.
@@ -228,13 +228,13 @@
 // applied tells the membership which version is in force here.
 func (c *control) applied(s *config.Snapshot, refused *config.Refused) {
 	v := s.Version()
-	a := membership.Applied{Version: v.Number}
+	a := membership.ConfigStatus{Version: v.Number}
 	copy(a.Hash[:], v.Hash[:])
 	if refused != nil {
-		a.Refused = refused.Version.Number
+		a.RefusedVersion = refused.Version.Number
 		a.RefusedReason = refused.Err.Error()
 	}
-	c.members.SetApplied(a)
+	c.members.SetConfigStatus(a)
 }
 
 // backends tells the membership which backend servers are beside this node, and what they
@@ -243,7 +243,7 @@
 	c.telling.Lock()
 	defer c.telling.Unlock()
 	seen := c.n.rollouts.serve(time.Now(), c.n.registry.Load())
-	if err := c.members.SetBackends(announce.Members(seen)); err != nil {
+	if err := c.members.SetBackends(announce.MembershipBackends(seen)); err != nil {
 		c.n.log.Error().Err(err).Msg("membership: backend servers are not told")
 	}
 }
