--- a/internal/node/callpath.go
+++ b/internal/node/callpath.go
@@ -69,10 +69,10 @@
 	}
 	tracer := proxy.NewTracer(provider)
 	programs := programs{n.store}
-	link := proxy.NewLink(n.set.VM.LinkMbps)
-	c.dest = proxy.NewDestination(n.o.Policies.destinationParts(proxy.DestinationParts{
+	link := proxy.NewLinkPacer(n.set.VM.LinkMbps)
+	c.dest = proxy.NewDestination(n.o.Policies.destinationParts(proxy.DestinationOptions{
 		Programs: programs, Backends: backends{n.registry}, Gates: c.gates, SlotUse: c.gates.use,
-		Keeper: keeper{c.keeper}, Suspects: c.suspects, Rollouts: n.rollouts, Upstreams: c.upstreams, Tracer: tracer,
+		Claims: keeper{c.keeper}, Suspects: c.suspects, Rollouts: n.rollouts, Upstreams: c.upstreams, Tracer: tracer,
 		Dialect: n.o.Dialect, Decisions: c.decisions,
 		Spool: n.spool(), Link: link,
 	}))
--- a/internal/node/metrics_calls.go
+++ b/internal/node/metrics_calls.go
@@ -15,7 +15,7 @@
 	for _, t := range c.meters.Totals() {
 		writeClass(p, &t)
 	}
-	c.meters.PartTimes(func(service string, part proxy.Part, h proxy.Histogram) {
+	c.meters.LatencyParts(func(service string, part proxy.LatencyPart, h proxy.Histogram) {
 		writeHistogram(p, "marlpass_call_part_seconds", h, "service", service, "part", string(part))
 	})
 	c.entry.FreeShares(func(service string, share float64) {
@@ -55,8 +55,8 @@
 func writeHistogram(p page, name string, h proxy.Histogram, l ...string) {
 	for _, b := range h.Buckets {
 		le := "+Inf"
-		if !math.IsInf(b.Within, 1) {
-			le = strconv.FormatFloat(b.Within, 'g', -1, 64)
+		if !math.IsInf(b.UpperBound, 1) {
+			le = strconv.FormatFloat(b.UpperBound, 'g', -1, 64)
 		}
 		p.counter(name+"_bucket", b.Calls, append(slices.Clip(l), "le", le)...)
 	}
--- a/internal/node/policies.go
+++ b/internal/node/policies.go
@@ -33,12 +33,12 @@
 }
 
 // destinationParts returns the parts of the destination with these policies.
-func (p Policies) destinationParts(parts proxy.DestinationParts) proxy.DestinationParts {
+func (p Policies) destinationParts(parts proxy.DestinationOptions) proxy.DestinationOptions {
 	if p.FixedLimit {
 		parts.Gates = new(proxy.FixedLimit)
 	}
 	if p.NoKeeper {
-		parts.Keeper = nil
+		parts.Claims = nil
 	}
 	if p.NoQuarantine {
 		parts.Suspects = nil
--- a/internal/node/report.go
+++ b/internal/node/report.go
@@ -39,7 +39,7 @@
 // own returns this node's own report.
 func (r *reports) own(now time.Time) *peerpb.Report {
 	out := new(peerpb.Report)
-	for _, f := range r.n.calls.meters.Figures(now) {
+	for _, f := range r.n.calls.meters.Stats(now) {
 		if f.Answered > 0 || len(f.Refused) > 0 {
 			out.Classes = append(out.Classes, countsOf(f))
 		}
@@ -48,7 +48,7 @@
 	return out
 }
 
-func countsOf(f proxy.ClassFigures) *peerpb.ClassCounts {
+func countsOf(f proxy.ClassStats) *peerpb.ClassCounts {
 	c := &peerpb.ClassCounts{Class: f.Class, Answered: f.Answered, Failed: f.Failed, Within: f.InTarget}
 	for why, n := range f.Refused {
 		c.Refused = append(c.Refused, &peerpb.RefusedCalls{Reason: string(why), Calls: n})
--- a/internal/proxy/destination.go
+++ b/internal/proxy/destination.go
@@ -14,16 +14,16 @@
 	"github.com/marlpass/marlpass/internal/retry"
 )
 
-// DestinationParts are what a Destination is made of. Gates, Keeper and
+// DestinationOptions are what a Destination is made of. Gates, Claims and
 // Suspects may be nil; then nothing is queued, claimed or quarantined.
-type DestinationParts struct {
+type DestinationOptions struct {
 	Programs Programs
 	Backends Backends
 	Gates    Gates
 	// SlotUse tells how a backend server's slots are used, for the logs; it may be
 	// nil.
 	SlotUse   func(Backend) SlotUse
-	Keeper    Keeper
+	Claims    Keeper
 	Suspects  Suspects
 	Rollouts  Rollouts // nil where versions make no difference
 	Upstreams *Upstreams
@@ -33,7 +33,7 @@
 	// Spool, if set, takes answers in before they are passed on, and Link paces
 	// those that go to other VMs.
 	Spool *Spool
-	Link  *Link
+	Link  *LinkPacer
 	// Decisions takes a line for each decision that needs one; nil writes none.
 	Decisions *decisions.Log
 	Now       func() time.Time // time.Now when nil
@@ -41,7 +41,7 @@
 
 // Destination passes calls to the backend servers of its own VM.
 type Destination struct {
-	DestinationParts
+	DestinationOptions
 	kept     keptBodies
 	draining atomic.Bool
 	inFlight atomic.Int64
@@ -49,14 +49,14 @@
 }
 
 // NewDestination returns a Destination that takes calls.
-func NewDestination(p DestinationParts) *Destination {
+func NewDestination(p DestinationOptions) *Destination {
 	if p.Now == nil {
 		p.Now = time.Now
 	}
 	if p.Dialect == nil {
 		p.Dialect = ownDialect{}
 	}
-	return &Destination{DestinationParts: p}
+	return &Destination{DestinationOptions: p}
 }
 
 // Drain makes the Destination refuse new calls. Those that run go on.
--- a/internal/proxy/entry_answer.go
+++ b/internal/proxy/entry_answer.go
@@ -53,7 +53,7 @@
 	if c.class != nil {
 		c.class.Refused(e.Now(), r.Reason)
 	} else {
-		e.Meters.Unmatched(r.Reason)
+		e.Meters.RefusedUnmatched(r.Reason)
 	}
 	e.logRefusal(c, r)
 	e.returns.refused(e.Now(), c, r.RetryAfter)
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -68,7 +68,7 @@
 	m := newMesh(t, bookings(), h)
 	k := newMemoryKeeper()
 	for _, d := range m.dest {
-		d.Keeper = k
+		d.Claims = k
 	}
 	return m, k
 }
@@ -169,7 +169,7 @@
 		io.WriteString(w, r.Header.Get("Idempotency-Key"))
 	})
 	k := newMemoryKeeper()
-	m.dest[0].Keeper, m.dest[1].Keeper = k, k
+	m.dest[0].Claims, m.dest[1].Claims = k, k
 	_, body, err := m.call("POST", "/", "x", "Idempotency-Key", "k1")
 	if err != nil || body != "k1" || len(k.stored) != 0 {
 		t.Fatalf("got %q %v, claims %v", body, err, k.stored)
@@ -209,7 +209,7 @@
 func TestResendWhileThePlatformIsDownIsNotCalledNotRun(t *testing.T) {
 	m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	k := &downKeeper{memoryKeeper: newMemoryKeeper()}
-	m.dest[0].Keeper, m.dest[1].Keeper = k, k
+	m.dest[0].Claims, m.dest[1].Claims = k, k
 	m.call("POST", "/charge", "x", "Idempotency-Key", "k1")
 	<-k.ended
 	k.down = true
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -49,7 +49,7 @@
 // the link. Behind it there is still the run itself and the way.
 const linkPart = 0.25
 
-// Link paces the large answers that leave this VM, and refuses calls whose answers
+// LinkPacer paces the large answers that leave this VM, and refuses calls whose answers
 // it could not carry in time.
 //
 // It guards small answers against large ones. A few downloads at once fill the
@@ -58,7 +58,7 @@
 // the bulk held back here, the queue in front of the link stays short. What waits
 // here is bounded as well: a download that would come too late is turned away
 // before it runs, while another VM's link may have room.
-type Link struct {
+type LinkPacer struct {
 	mbps float64
 	bulk *rate.Limiter
 	// waiting are the bytes of bulk that are to go out, expected ones included.
@@ -72,17 +72,17 @@
 // linkSizeWeight is the weight of one answer in that mean, as a divisor.
 const linkSizeWeight = 8
 
-// NewLink returns the pace of a link, or nil, which paces nothing, for zero.
-func NewLink(mbps float64) *Link {
+// NewLinkPacer returns the pace of a link, or nil, which paces nothing, for zero.
+func NewLinkPacer(mbps float64) *LinkPacer {
 	if mbps <= 0 {
 		return nil
 	}
 	bulk := max(mbps*bulkPart-smallMbps, mbps*bulkLeast)
-	return &Link{mbps: mbps, bulk: rate.NewLimiter(rate.Limit(bulk*bytesPerMbit), bulkChunk)}
+	return &LinkPacer{mbps: mbps, bulk: rate.NewLimiter(rate.Limit(bulk*bytesPerMbit), bulkChunk)}
 }
 
 // Wait returns how long a large answer that came now would wait.
-func (l *Link) Wait() time.Duration {
+func (l *LinkPacer) Wait() time.Duration {
 	if l == nil {
 		return 0
 	}
@@ -91,7 +91,7 @@
 
 // expect reserves room for an answer of the class, and returns what was reserved.
 // A refusal means that the answer would wait too long.
-func (l *Link) expect(t *config.Target) (int64, *call.Refusal) {
+func (l *LinkPacer) expect(t *config.Target) (int64, *call.Refusal) {
 	if l == nil {
 		return 0, nil
 	}
@@ -107,7 +107,7 @@
 	return n, nil
 }
 
-func (l *Link) size(class string) *linkSize {
+func (l *LinkPacer) size(class string) *linkSize {
 	if s, ok := l.sizes.Load(class); ok {
 		return s.(*linkSize)
 	}
@@ -117,7 +117,7 @@
 
 // settle replaces what was expected of an answer by its real size, and returns what
 // is now reserved.
-func (l *Link) settle(class string, expected, size int64) int64 {
+func (l *LinkPacer) settle(class string, expected, size int64) int64 {
 	if l == nil {
 		return 0
 	}
@@ -133,7 +133,7 @@
 }
 
 // free gives up a reservation.
-func (l *Link) free(reserved int64) {
+func (l *LinkPacer) free(reserved int64) {
 	if l != nil {
 		l.waiting.Add(-reserved)
 	}
@@ -142,7 +142,7 @@
 // pace returns a writer of one answer of a class over the link to a VM whose own
 // link has the given rate in Mbit/s, zero if it is not known. Size is that of the
 // answer, or negative.
-func (l *Link) pace(ctx context.Context, w http.ResponseWriter, t *config.Target, far float64, size int64) http.ResponseWriter {
+func (l *LinkPacer) pace(ctx context.Context, w http.ResponseWriter, t *config.Target, far float64, size int64) http.ResponseWriter {
 	if l == nil {
 		return w
 	}
@@ -165,7 +165,7 @@
 // pacedWriter holds the bulk of an answer to the pace of its link.
 type pacedWriter struct {
 	http.ResponseWriter
-	link *Link
+	link *LinkPacer
 	own  *rate.Limiter // of this answer, or nil
 	ctx  context.Context
 	sent int
@@ -223,7 +223,7 @@
 const fastMbps = 200
 
 // setRate notes the rate of this VM's link in a call to another node.
-func (l *Link) setRate(h http.Header) {
+func (l *LinkPacer) setRate(h http.Header) {
 	if l != nil && l.mbps < fastMbps {
 		h[headerLinkRate] = []string{strconv.FormatFloat(l.mbps, 'f', -1, 64)}
 	}
--- a/internal/proxy/meters.go
+++ b/internal/proxy/meters.go
@@ -152,8 +152,8 @@
 	return time.Duration((sub+1)<<(power-subBits)-1) * time.Microsecond
 }
 
-// ClassFigures sum up the last minute of a class.
-type ClassFigures struct {
+// ClassStats sum up the last minute of a class.
+type ClassStats struct {
 	Class    string
 	Answered uint64 // with any status, those that failed included
 	Failed   uint64 // server errors, cut answers and unknown outcomes
@@ -173,9 +173,9 @@
 	Calls  uint64
 }
 
-// Figures returns the last minute of every class that this node has seen.
-func (m *Meters) Figures(now time.Time) []ClassFigures {
-	var out []ClassFigures
+// Stats returns the last minute of every class that this node has seen.
+func (m *Meters) Stats(now time.Time) []ClassStats {
+	var out []ClassStats
 	m.byClass.Range(func(_, v any) bool {
 		out = append(out, v.(*ClassMeter).figures(now))
 		return true
@@ -183,8 +183,8 @@
 	return out
 }
 
-func (c *ClassMeter) figures(now time.Time) ClassFigures {
-	f := ClassFigures{Class: c.name, Refused: make(map[call.Reason]uint64)}
+func (c *ClassMeter) figures(now time.Time) ClassStats {
+	f := ClassStats{Class: c.name, Refused: make(map[call.Reason]uint64)}
 	var sum [buckets]uint64
 	part := now.UnixNano() / int64(windowPart)
 	for i := range c.parts {
@@ -202,7 +202,7 @@
 	return f
 }
 
-func (w *window) addTo(f *ClassFigures, sum *[buckets]uint64) {
+func (w *window) addTo(f *ClassStats, sum *[buckets]uint64) {
 	f.Answered += w.answered.Load()
 	f.Failed += w.failed.Load()
 	f.InTarget += w.inTarget.Load()
--- a/internal/proxy/meters_test.go
+++ b/internal/proxy/meters_test.go
@@ -36,7 +36,7 @@
 		c.Answered(now, time.Duration(i+1)*time.Millisecond, i == 0)
 	}
 	c.Refused(now, call.ReasonOverloaded)
-	f := m.Figures(now)[0]
+	f := m.Stats(now)[0]
 	if f.Answered != 100 || f.Failed != 1 || f.InTarget != 49 || f.Refused[call.ReasonOverloaded] != 1 {
 		t.Fatalf("got %+v", f)
 	}
@@ -55,11 +55,11 @@
 	}
 	// After a minute nothing of it is left, and the parts are used again.
 	later := now.Add(windowParts * windowPart)
-	if f := m.Figures(later)[0]; f.Answered != 0 || len(f.Refused) != 0 {
+	if f := m.Stats(later)[0]; f.Answered != 0 || len(f.Refused) != 0 {
 		t.Fatalf("a minute later: %+v", f)
 	}
 	c.Answered(later, time.Millisecond, false)
-	if f := m.Figures(later)[0]; f.Answered != 1 {
+	if f := m.Stats(later)[0]; f.Answered != 1 {
 		t.Fatalf("used again: %+v", f)
 	}
 }
--- a/internal/proxy/part_times.go
+++ b/internal/proxy/part_times.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Part is where the time of an answered call went.
-type Part string
+// LatencyPart is where the time of an answered call went.
+type LatencyPart string
 
 // The parts of a call's time.
 const (
-	// PartWay is all that the two others leave: both nodes, the way between
+	// PartOverhead is all that the two others leave: both nodes, the way between
 	// them, and attempts that gave no answer.
-	PartWay Part = "way"
+	PartOverhead LatencyPart = "way"
 	// PartWait is the wait for a slot of the backend server.
-	PartWait Part = "wait"
+	PartWait LatencyPart = "wait"
 	// PartRun is the time at the backend server, until its answer was there.
-	PartRun Part = "run"
+	PartRun LatencyPart = "run"
 )
 
 // partTimes holds a histogram a part for each service. Services are few, so the
@@ -38,12 +38,12 @@
 	s.run.add(t.run)
 }
 
-// PartTimes calls visit with the histogram of each part of each service that
+// LatencyParts calls visit with the histogram of each part of each service that
 // calls which entered here went to.
-func (m *Meters) PartTimes(visit func(service string, p Part, h Histogram)) {
+func (m *Meters) LatencyParts(visit func(service string, p LatencyPart, h Histogram)) {
 	m.parts.byService.Range(func(service, v any) bool {
 		s := v.(*serviceTimes)
-		visit(service.(string), PartWay, s.way.read())
+		visit(service.(string), PartOverhead, s.way.read())
 		visit(service.(string), PartWait, s.wait.read())
 		visit(service.(string), PartRun, s.run.read())
 		return true
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -82,7 +82,7 @@
 	for i := range m.dest {
 		ups := NewUpstreams(SlowProbing)
 		t.Cleanup(ups.Close)
-		m.dest[i] = NewDestination(DestinationParts{
+		m.dest[i] = NewDestination(DestinationOptions{
 			Programs: one{target}, Upstreams: ups, Gates: new(FixedLimit),
 			Backends: held{{Service: testService, Instance: "a", Addr: addr, Slots: 8, State: membership.BackendReady}},
 		})
--- a/internal/proxy/spool_test.go
+++ b/internal/proxy/spool_test.go
@@ -60,7 +60,7 @@
 // of each answer goes out at once; what follows keeps to the pace.
 func TestLinkPacesBulkOnly(t *testing.T) {
 	const bytesPerSecond = 1 << 20
-	l := NewLink(bytesPerSecond / bytesPerMbit)
+	l := NewLinkPacer(bytesPerSecond / bytesPerMbit)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // whoever waits for the pace is told so at once
 	w := httptest.NewRecorder()
@@ -75,7 +75,7 @@
 	if got, want := float64(l.bulk.Limit()), bytesPerSecond*bulkPart-smallMbps*bytesPerMbit; got != want {
 		t.Errorf("bulk goes at %.0f bytes a second, not %.0f", got, want)
 	}
-	if NewLink(0) != nil {
+	if NewLinkPacer(0) != nil {
 		t.Error("a link of unknown rate is paced")
 	}
 	var b bytes.Buffer
--- a/internal/proxy/totals.go
+++ b/internal/proxy/totals.go
@@ -80,8 +80,8 @@
 
 // Bucket is how many calls were answered within a time.
 type Bucket struct {
-	Within float64 // seconds; the last is infinite
-	Calls  uint64
+	UpperBound float64 // seconds; the last is infinite
+	Calls      uint64
 }
 
 // Histogram counts times at this node since its start.
@@ -115,8 +115,8 @@
 	return out
 }
 
-// Unmatched counts a refusal of a call that belongs to no class.
-func (m *Meters) Unmatched(why call.Reason) { m.other.refuse(why) }
+// RefusedUnmatched counts a refusal of a call that belongs to no class.
+func (m *Meters) RefusedUnmatched(why call.Reason) { m.other.refuse(why) }
 
 func (t *totals) read(class string) ClassTotals {
 	out := ClassTotals{
--- a/internal/proxy/totals_test.go
+++ b/internal/proxy/totals_test.go
@@ -25,10 +25,10 @@
 	}
 	want := map[float64]uint64{0.000256: 2, 0.000512: 3, 0.001024: 4, 0.032768: 5, 33.554432: 5, math.Inf(1): 6}
 	for _, b := range got.Answered.Buckets {
-		if n, ok := want[b.Within]; ok && n != b.Calls {
-			t.Errorf("within %g s: %d, want %d", b.Within, b.Calls, n)
+		if n, ok := want[b.UpperBound]; ok && n != b.Calls {
+			t.Errorf("within %g s: %d, want %d", b.UpperBound, b.Calls, n)
 		}
-		delete(want, b.Within)
+		delete(want, b.UpperBound)
 	}
 	if len(want) > 0 {
 		t.Errorf("missing buckets %v", want)
