--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -202,10 +202,10 @@
 	// linkWait is how long large answers wait for the destination's link.
 	linkWait time.Duration
 	// took is what the time at the destination went into.
-	took took
+	took destinationTimes
 	// held is what the call holds at this node until its answer has been
 	// passed on; nil when another node ran it.
-	held *holding
+	held *execution
 }
 
 // kill ends an answer that must not be passed on, and its connection.
@@ -239,7 +239,7 @@
 // kind. Taking it for a crash would hold back innocent requests at their entry
 // node whenever connections go silent or callers are impatient.
 func (a *answer) broke() bool {
-	return a.err != nil && !a.expired && kindOf(a.err) == unknownLost && !errors.Is(a.err, context.Canceled)
+	return a.err != nil && !a.expired && unknownKindOf(a.err) == unknownLost && !errors.Is(a.err, context.Canceled)
 }
 
 // send sends o and waits until its answer begins. The answer's body must be
@@ -292,7 +292,7 @@
 
 // failed ends an attempt without an answer and tells what that means.
 func (a *attempt) failed(err error) answer {
-	refusal := a.unsent()
+	refusal := a.refusalIfUnsent()
 	a.mu.Lock()
 	waited, replay := a.waited, a.replay
 	a.mu.Unlock()
--- a/internal/proxy/baseline.go
+++ b/internal/proxy/baseline.go
@@ -38,7 +38,7 @@
 	for i := range all {
 		ep := &all[(at+uint64(i))%uint64(len(all))]
 		if !slices.Contains(a.Tried, ep.ID) {
-			return (*plainChoice)(ep), nil
+			return (*baselineChoice)(ep), nil
 		}
 	}
 	return nil, ErrTriedAll
@@ -51,7 +51,7 @@
 		return p.Pick(now, t, Ask{Tried: tried})
 	}
 	all := (*m)[t.Service]
-	return (*plainChoice)(&all[key%uint64(len(all))]), nil
+	return (*baselineChoice)(&all[key%uint64(len(all))]), nil
 }
 
 // TriedAll reports whether every endpoint was tried.
@@ -62,13 +62,13 @@
 	})
 }
 
-type plainChoice Endpoint
+type baselineChoice Endpoint
 
 // Endpoint returns the endpoint.
-func (c *plainChoice) Endpoint() Endpoint { return Endpoint(*c) }
+func (c *baselineChoice) Endpoint() Endpoint { return Endpoint(*c) }
 
 // Done learns nothing.
-func (c *plainChoice) Done(time.Time, Report) {}
+func (c *baselineChoice) Done(time.Time, Report) {}
 
 // RetryUpTo sends a call again until it was sent so many times, at once, but
 // never one that is not idempotent and may have run.
@@ -105,7 +105,7 @@
 
 // Acquire waits for a slot.
 func (f *FixedLimit) Acquire(ctx context.Context, b Backend, _ *config.Target, times limit.AcquireOptions) (Permit, error) {
-	slots := f.of(b)
+	slots := f.slotsOf(b)
 	select {
 	case slots <- struct{}{}:
 		return fixedPermit{slots}, nil
@@ -126,7 +126,7 @@
 	}
 }
 
-func (f *FixedLimit) of(b Backend) chan struct{} {
+func (f *FixedLimit) slotsOf(b Backend) chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.slots == nil {
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -15,57 +15,57 @@
 
 // Bounds on request bodies kept for another attempt.
 const (
-	maxKeptBody   = 64 << 10
-	keptBodyTotal = 32 << 20
+	maxBufferedBody  = 64 << 10
+	maxBufferedTotal = 32 << 20
 )
 
 // keptBodies bounds the memory of all kept bodies of a node.
-type keptBodies struct{ used atomic.Int64 }
+type bodyBudget struct{ used atomic.Int64 }
 
-func (k *keptBodies) take(n int64) bool {
-	if k.used.Add(n) <= keptBodyTotal {
+func (k *bodyBudget) reserve(n int64) bool {
+	if k.used.Add(n) <= maxBufferedTotal {
 		return true
 	}
 	k.used.Add(-n)
 	return false
 }
 
-func (k *keptBodies) give(n int64) { k.used.Add(-n) }
+func (k *bodyBudget) free(n int64) { k.used.Add(-n) }
 
 // body is the body of a request on its way. A small one of known length is
 // read whole first, and can be sent again. Another streams, and can be sent
 // again only as long as nothing of it was read.
 type body struct {
-	length int64
-	kept   []byte // nil when it streams
-	stream *streamBody
-	budget *keptBodies
+	length   int64
+	buffered []byte // nil when it streams
+	stream   *streamBody
+	budget   *bodyBudget
 }
 
 // streamBody is a caller's body that is passed on as it comes. It notes whether
 // anything was asked of it.
 type streamBody struct {
 	io.ReadCloser
-	caller  *http.ResponseController
-	touched atomic.Bool
-	ended   atomic.Bool
+	caller      *http.ResponseController
+	readStarted atomic.Bool
+	ended       atomic.Bool
 	// room is how many bytes more may come; negative for any number.
-	room int64
+	remaining int64
 
-	mu     sync.Mutex
-	holder *conn // the connection that the body goes out on now; nil before the first
-	over   bool  // the caller's connection may serve another call
-	cut    bool  // abort has ended the reading
+	mu       sync.Mutex
+	sentOn   *conn // the connection that the body goes out on now; nil before the first
+	finished bool  // the caller's connection may serve another call
+	aborted  bool  // abort has ended the reading
 }
 
 // newStreamBody lets the answer begin before the body has ended.
-func newStreamBody(w http.ResponseWriter, r *http.Request, most int64) *streamBody {
+func newStreamBody(w http.ResponseWriter, r *http.Request, maxBytes int64) *streamBody {
 	c := http.NewResponseController(w)
 	// HTTP/2 needs no such leave and says so with an error.
 	_ = c.EnableFullDuplex()
-	s := &streamBody{ReadCloser: r.Body, caller: c, room: -1}
-	if most > 0 {
-		s.room = most
+	s := &streamBody{ReadCloser: r.Body, caller: c, remaining: -1}
+	if maxBytes > 0 {
+		s.remaining = maxBytes
 	}
 	return s
 }
@@ -77,18 +77,18 @@
 
 // Read marks the body as used before it reads.
 func (s *streamBody) Read(p []byte) (int, error) {
-	s.touched.Store(true)
+	s.readStarted.Store(true)
 	n, err := s.ReadCloser.Read(p)
-	if err != nil && err != io.EOF && s.wasCut() {
-		err = errBodyCut
+	if err != nil && err != io.EOF && s.wasAborted() {
+		err = errBodyConnBroke
 	}
-	if s.room >= 0 {
-		if int64(n) > s.room {
+	if s.remaining >= 0 {
+		if int64(n) > s.remaining {
 			// The end of the body is still to come: the caller's connection
 			// cannot serve another call.
 			return 0, errBodyTooLong
 		}
-		s.room -= int64(n)
+		s.remaining -= int64(n)
 	}
 	if err != nil {
 		s.ended.Store(true)
@@ -98,19 +98,19 @@
 
 // errBodyCut ends a body whose connection onwards broke. Without a name of its own the logs
 // would show the time-out by which abort ends the read, as if the caller had been too slow.
-var errBodyCut = errors.New("proxy: the connection on which the body was sent broke")
+var errBodyConnBroke = errors.New("proxy: the connection on which the body was sent broke")
 
-func (s *streamBody) wasCut() bool {
+func (s *streamBody) wasAborted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cut
+	return s.aborted
 }
 
 // sendOn notes that the body goes out on c from now on, and on no other connection.
 func (s *streamBody) sendOn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.holder = c
+	s.sentOn = c
 }
 
 // connClosed ends the reading if the body was going out on c.
@@ -122,7 +122,7 @@
 func (s *streamBody) connClosed(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.holder == c {
+	if s.sentOn == c {
 		s.abortLocked()
 	}
 }
@@ -145,18 +145,18 @@
 }
 
 func (s *streamBody) abortLocked() {
-	if s.over || !s.touched.Load() || s.ended.Load() {
+	if s.finished || !s.readStarted.Load() || s.ended.Load() {
 		return
 	}
-	s.cut = true
+	s.aborted = true
 	_ = s.caller.SetReadDeadline(time.Unix(1, 0))
 }
 
 // leave ends the power of abort. It must be called before the handler returns.
-func (s *streamBody) leave() {
+func (s *streamBody) finish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.over = true
+	s.finished = true
 }
 
 // Close leaves the caller's body open: net/http closes it when the handler
@@ -170,17 +170,17 @@
 // It guards against a caller that falls silent before the end of a small body.
 // Nothing else ends the read: the call would hold its memory for ever, and a
 // stop of the node would wait for it.
-func takeBody(w http.ResponseWriter, r *http.Request, budget *keptBodies, deadline time.Time, most int64) (body, error) {
+func prepareBody(w http.ResponseWriter, r *http.Request, budget *bodyBudget, deadline time.Time, maxBytes int64) (body, error) {
 	switch {
 	case r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0:
 		return body{}, nil
-	case r.ContentLength < 0 || r.ContentLength > maxKeptBody || !budget.take(r.ContentLength):
-		return body{length: r.ContentLength, stream: newStreamBody(w, r, most)}, nil
+	case r.ContentLength < 0 || r.ContentLength > maxBufferedBody || !budget.reserve(r.ContentLength):
+		return body{length: r.ContentLength, stream: newStreamBody(w, r, maxBytes)}, nil
 	}
-	b := body{length: r.ContentLength, kept: make([]byte, r.ContentLength), budget: budget}
+	b := body{length: r.ContentLength, buffered: make([]byte, r.ContentLength), budget: budget}
 	c := http.NewResponseController(w)
 	_ = c.SetReadDeadline(deadline)
-	if _, err := io.ReadFull(r.Body, b.kept); err != nil {
+	if _, err := io.ReadFull(r.Body, b.buffered); err != nil {
 		b.release()
 		return body{}, err
 	}
@@ -192,7 +192,7 @@
 
 // refuseBody returns the refusal of a call whose body did not come in time. It
 // breaks off when the caller's connection broke: there is nobody to tell.
-func refuseBody(err error) *call.Refusal {
+func refuseIncompleteBody(err error) *call.Refusal {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		panic(http.ErrAbortHandler)
 	}
@@ -204,14 +204,14 @@
 	switch {
 	case b.stream != nil:
 		return b.stream, b.length
-	case b.kept != nil:
-		return io.NopCloser(bytes.NewReader(b.kept)), b.length
+	case b.buffered != nil:
+		return io.NopCloser(bytes.NewReader(b.buffered)), b.length
 	}
 	return http.NoBody, 0
 }
 
 // reusable reports whether the body can be sent again.
-func (b *body) reusable() bool { return b.stream == nil || !b.stream.touched.Load() }
+func (b *body) replayable() bool { return b.stream == nil || !b.stream.readStarted.Load() }
 
 // streams reports whether the body is passed on as it comes.
 func (b *body) streams() bool { return b.stream != nil }
@@ -223,7 +223,7 @@
 // out, and then breaks the connection by a panic of its own ("invalid concurrent
 // Body.Read call"). A caller that was told nothing has sent its next call by
 // then, and cannot know whether it ran. HTTP/2 has no such connection.
-func (b *body) answering(r *http.Request, h http.Header) {
+func (b *body) closeUnlessRead(r *http.Request, h http.Header) {
 	if b.stream != nil && !b.stream.ended.Load() && r.ProtoMajor == 1 {
 		h["Connection"] = closeValue
 	}
@@ -233,7 +233,7 @@
 
 // noRoom reports whether the body streams only because the memory for kept
 // bodies is used up.
-func (b *body) noRoom() bool { return b.streams() && b.length >= 0 && b.length <= maxKeptBody }
+func (b *body) overBudget() bool { return b.streams() && b.length >= 0 && b.length <= maxBufferedBody }
 
 // abort breaks the caller's connection off, so that a cut answer does not look
 // whole. net/http reads on in an unfinished request body before it closes the
@@ -251,10 +251,10 @@
 // transport may still read them.
 func (b *body) release() {
 	if b.stream != nil {
-		b.stream.leave()
+		b.stream.finish()
 	}
 	if b.budget != nil {
-		b.budget.give(b.length)
+		b.budget.free(b.length)
 		b.budget = nil
 	}
 }
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -83,10 +83,10 @@
 	b := newStreamBody(&deadlines{ResponseRecorder: httptest.NewRecorder()}, r, 0)
 	c := &conn{Conn: new(sink)}
 	c.begin(b)
-	b.touched.Store(true)
+	b.readStarted.Store(true)
 	c.Close()
-	if _, err := b.Read(make([]byte, 1)); !errors.Is(err, errBodyCut) {
-		t.Errorf("got %v, want %v", err, errBodyCut)
+	if _, err := b.Read(make([]byte, 1)); !errors.Is(err, errBodyConnBroke) {
+		t.Errorf("got %v, want %v", err, errBodyConnBroke)
 	}
 }
 
@@ -104,10 +104,10 @@
 		ends   bool
 	}{
 		"refused unread": {-1, "k1", true},
-		"read whole":     {maxKeptBody + 1, "", false},
+		"read whole":     {maxBufferedBody + 1, "", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := strings.NewReader(strings.Repeat("x", maxKeptBody+1))
+			b := strings.NewReader(strings.Repeat("x", maxBufferedBody+1))
 			req, _ := http.NewRequest("POST", m.public.URL+"/", io.NopCloser(b))
 			req.ContentLength = c.length
 			req.Header.Set("Idempotency-Key", c.key)
--- a/internal/proxy/destination.go
+++ b/internal/proxy/destination.go
@@ -42,10 +42,10 @@
 // Destination passes calls to the backend servers of its own VM.
 type Destination struct {
 	DestinationOptions
-	kept     keptBodies
-	draining atomic.Bool
-	inFlight atomic.Int64
-	records  sync.WaitGroup // outcomes of claims being written
+	bodies        bodyBudget
+	draining      atomic.Bool
+	inFlight      atomic.Int64
+	outcomeWrites sync.WaitGroup // outcomes of claims being written
 }
 
 // NewDestination returns a Destination that takes calls.
@@ -70,14 +70,14 @@
 	now := d.Now()
 	h, ok := parseHop(first(r.Header, call.HeaderHop))
 	if !ok || wantsUpgrade(r) {
-		writeRefusal(w, refuse(call.ReasonBadRequest, 0, "not a call from a node"))
+		writeNodeRefusal(w, refuse(call.ReasonBadRequest, 0, "not a call from a node"))
 		return
 	}
 	in := inbounds.Get().(*inbound)
 	defer in.free()
 	var err error
-	if in.own, err = takeBody(w, r, &d.kept, now.Add(h.left), 0); err != nil {
-		writeRefusal(w, refuseBody(err))
+	if in.ownBody, err = prepareBody(w, r, &d.bodies, now.Add(h.left), 0); err != nil {
+		writeNodeRefusal(w, refuseIncompleteBody(err))
 		return
 	}
 	retried := r.Header[retry.HeaderRetried]
@@ -85,7 +85,7 @@
 	h.waited = parseWaited(r.Header)
 	h.once = first(r.Header, headerOnce) != ""
 	h.noWait = first(r.Header, headerNoWait) != ""
-	far := parseRate(r.Header)
+	remoteMbps := parseLinkRate(r.Header)
 	dropHopByHop(r.Header)
 	dropOwn(r.Header)
 	if retried != nil {
@@ -93,23 +93,23 @@
 	}
 	ctx, span := d.Tracer.startRemote(r, "destination", h.class)
 	defer span.end()
-	in.r, in.header, in.body, in.hop, in.deadline = r, r.Header, &in.own, h, now.Add(h.left)
+	in.r, in.header, in.body, in.hop, in.deadline = r, r.Header, &in.ownBody, h, now.Add(h.left)
 	a := d.doRemote(ctx, now, in)
 	span.outcome(&a)
-	in.own.answering(r, w.Header())
-	defer d.Link.free(in.reserved)
+	in.ownBody.closeUnlessRead(r, w.Header())
+	defer d.Link.free(in.linkBytes)
 	size := int64(-1)
 	if a.resp != nil {
 		size = a.resp.ContentLength
 	}
-	d.finish(d.Link.pace(ctx, w, d.target(in.hop), far, size), &a, &in.own)
+	d.writeAnswer(d.Link.pace(ctx, w, d.target(in.hop), remoteMbps, size), &a, &in.ownBody)
 }
 
 // doRemote runs a call whose answer goes out over this VM's link.
 func (d *Destination) doRemote(ctx context.Context, now time.Time, in *inbound) answer {
-	expected, refusal := d.Link.expect(d.target(in.hop))
+	expected, refusal := d.Link.reserve(d.target(in.hop))
 	if refusal != nil {
-		d.logTurned(now, in, Backend{}, refusal)
+		d.logRefusal(now, in, Backend{}, refusal)
 		return answer{refusal: refusal}
 	}
 	a := d.do(ctx, now, in)
@@ -117,18 +117,18 @@
 		d.Link.free(expected)
 		return a
 	}
-	in.reserved = d.Link.settle(in.hop.class, expected, max(a.resp.ContentLength, 0))
+	in.linkBytes = d.Link.adjust(in.hop.class, expected, max(a.resp.ContentLength, 0))
 	return a
 }
 
 // finish writes the answer to the entry node.
-func (d *Destination) finish(w http.ResponseWriter, a *answer, b *body) {
+func (d *Destination) writeAnswer(w http.ResponseWriter, a *answer, b *body) {
 	switch {
 	case a.refusal != nil:
 		d.setLinkWait(w.Header())
-		writeRefusal(w, a.refusal)
+		writeNodeRefusal(w, a.refusal)
 	case a.err != nil:
-		w.Header()[headerUnknown] = []string{string(kindOf(a.err))}
+		w.Header()[headerUnknown] = []string{string(unknownKindOf(a.err))}
 		writeUnknown(w, a.err)
 	default:
 		w.Header()["Date"] = nil // the caller's own node sets it
@@ -137,8 +137,8 @@
 		}
 		d.setLinkWait(w.Header())
 		w.Header()[headerTook] = []string{a.took.String()}
-		p := d.pass(w, a)
-		if p.partial || p.gone {
+		p := d.relayAnswer(w, a)
+		if p.partial || p.readerGone {
 			b.abort()
 		}
 	}
@@ -160,32 +160,32 @@
 }
 
 // pass relays the answer and ends the holding.
-func (d *Destination) pass(w http.ResponseWriter, a *answer) (p passed) {
+func (d *Destination) relayAnswer(w http.ResponseWriter, a *answer) (p relayResult) {
 	defer func() {
 		a.resp.Body.Close()
 		a.held.end(d, p)
 		a.held.free()
 	}()
 	p.partial = true // should relay panic, as on a status that HTTP has not
-	return relay(w, a.resp, a.held.keep(d.Now))
+	return relay(w, a.resp, a.held.captureBody(d.Now))
 }
 
 // inbound is a call as it reached the destination.
 type inbound struct {
-	r        *http.Request
-	header   http.Header // may be changed
-	body     *body
-	own      body // what body points to when another node sent the call
-	hop      hop
-	deadline time.Time
-	reserved int64 // of the link, for the answer
+	r         *http.Request
+	header    http.Header // may be changed
+	body      *body
+	ownBody   body // what body points to when another node sent the call
+	hop       hop
+	deadline  time.Time
+	linkBytes int64 // of the link, for the answer
 }
 
 var inbounds = sync.Pool{New: func() any { return new(inbound) }}
 
 // free gives in back for another call.
 func (in *inbound) free() {
-	in.own.release()
+	in.ownBody.release()
 	*in = inbound{}
 	inbounds.Put(in)
 }
@@ -193,49 +193,49 @@
 // do runs a call, or refuses it. When it returns a response, the caller must
 // pass it on with relay, close its body, and end the holding.
 func (d *Destination) do(ctx context.Context, now time.Time, in *inbound) answer {
-	b, t, refusal := d.check(now, in)
+	b, t, refusal := d.admit(now, in)
 	if refusal != nil {
-		d.logTurned(now, in, b, refusal)
+		d.logRefusal(now, in, b, refusal)
 		return answer{refusal: refusal}
 	}
 	d.inFlight.Add(1)
-	a := d.hold(ctx, now, in, b, t)
+	a := d.execute(ctx, now, in, b, t)
 	if a.resp == nil {
 		d.inFlight.Add(-1)
 		if !a.busy() {
-			d.logEnd(now, in, b, &a)
+			d.logFailure(now, in, b, &a)
 		}
 	}
 	return a
 }
 
 // holding is what a call holds at its destination while it runs.
-type holding struct {
+type execution struct {
 	backend Backend
 	target  *config.Target
 	start   time.Time
 	// answered is when the answer began; zero if there is none yet.
-	answered time.Time
+	answeredAt time.Time
 	// deadline is that of a call with a claim.
-	deadline time.Time
-	claim    Claim
-	permit   Permit
-	mark     quarantine.Token
-	marked   bool
-	status   int
-	stored   *Stored // what to record for the claim
+	deadline       time.Time
+	claim          Claim
+	permit         Permit
+	suspectToken   quarantine.Token
+	suspectStarted bool
+	status         int
+	stored         *Stored // what to record for the claim
 	// replayed says that the answer is the stored one of an earlier call.
 	replayed bool
 }
 
 // hold claims, queues and sends the call, in this order: a claim is a write to
 // the platform, and no slot may be held while the platform is slow.
-func (d *Destination) hold(ctx context.Context, now time.Time, in *inbound, b Backend, t *config.Target) answer {
-	h := newHolding(b, t, now)
+func (d *Destination) execute(ctx context.Context, now time.Time, in *inbound, b Backend, t *config.Target) answer {
+	h := newExecution(b, t, now)
 	if a, done := d.claim(ctx, in, h); done {
 		return a
 	}
-	refusal, err := d.enter(ctx, now, in, h)
+	refusal, err := d.acquire(ctx, now, in, h)
 	if err != nil {
 		// The caller gave up before the call was sent on.
 		refusal = refuse(call.ReasonExpired, 0, "the caller gave up")
@@ -246,23 +246,23 @@
 		return answer{refusal: refusal}
 	}
 	a := d.forward(ctx, in, h)
-	a.took = took{wait: h.start.Sub(now), run: d.Now().Sub(h.start)}
+	a.took = destinationTimes{wait: h.start.Sub(now), run: d.Now().Sub(h.start)}
 	if a.resp == nil {
-		h.failed(d, &a)
+		h.endUnanswered(d, &a)
 		h.free()
 	}
 	return a
 }
 
 // began and ended tell the rollouts of a call that is sent to a backend server.
-func (d *Destination) began(now time.Time, h *holding) *call.Refusal {
+func (d *Destination) rolloutBegin(now time.Time, h *execution) *call.Refusal {
 	if d.Rollouts == nil {
 		return nil
 	}
 	return d.Rollouts.Begin(now, h.backend.Instance)
 }
 
-func (d *Destination) ended(at time.Time, h *holding, failed bool) {
+func (d *Destination) rolloutEnded(at time.Time, h *execution, failed bool) {
 	if d.Rollouts != nil {
 		d.Rollouts.Ended(at, h.backend.Instance, h.target.Name, at.Sub(h.start), failed)
 	}
--- a/internal/proxy/destination_admit.go
+++ b/internal/proxy/destination_admit.go
@@ -14,21 +14,21 @@
 )
 
 // check refuses what can be refused without waiting.
-func (d *Destination) check(now time.Time, in *inbound) (Backend, *config.Target, *call.Refusal) {
-	var none Backend
+func (d *Destination) admit(now time.Time, in *inbound) (Backend, *config.Target, *call.Refusal) {
+	var noBackend Backend
 	if d.draining.Load() {
-		return none, nil, refuse(call.ReasonDraining, 0, "")
+		return noBackend, nil, refuse(call.ReasonDraining, 0, "")
 	}
 	b, ok := d.Backends.Find(in.hop.service, in.hop.instance)
 	switch {
 	case !ok:
-		return none, nil, refuse(call.ReasonNotHeld, 0, in.hop.service)
+		return noBackend, nil, refuse(call.ReasonNotHeld, 0, in.hop.service)
 	case b.State == membership.BackendDraining:
-		return none, nil, refuse(call.ReasonDraining, 0, "")
+		return noBackend, nil, refuse(call.ReasonDraining, 0, "")
 	case b.State != membership.BackendReady:
-		return none, nil, refuse(call.ReasonNotReady, 0, "")
+		return noBackend, nil, refuse(call.ReasonNotReady, 0, "")
 	case !now.Before(in.deadline):
-		return none, nil, refuse(call.ReasonExpired, 0, "")
+		return noBackend, nil, refuse(call.ReasonExpired, 0, "")
 	}
 	if d.Rollouts != nil {
 		if refusal := d.Rollouts.Admit(now, b.Instance); refusal != nil {
@@ -49,18 +49,18 @@
 }
 
 // enter waits for a slot and asks whether the request is suspected.
-func (d *Destination) enter(ctx context.Context, now time.Time, in *inbound, h *holding) (*call.Refusal, error) {
+func (d *Destination) acquire(ctx context.Context, now time.Time, in *inbound, h *execution) (*call.Refusal, error) {
 	if d.Gates != nil {
-		times := limit.AcquireOptions{
+		options := limit.AcquireOptions{
 			FirstAttempt: now.Add(-in.hop.waited), OneShot: in.hop.once, NoWait: in.hop.noWait,
-			Deadline: startBy(now, in.deadline), Caller: d.caller(in.header),
+			Deadline: latestStart(now, in.deadline), Caller: d.caller(in.header),
 		}
-		permit, err := d.Gates.Acquire(ctx, h.backend, h.target, times)
+		permit, err := d.Gates.Acquire(ctx, h.backend, h.target, options)
 		if err != nil {
 			return asRefusal(err)
 		}
 		h.permit = permit
-		d.logWait(now, in, h)
+		d.logSlotWait(now, in, h)
 	}
 	if d.Suspects != nil {
 		fp := fingerprintOf(in.r, in.header, in.body)
@@ -69,12 +69,12 @@
 				return r, nil
 			}
 		}
-		what := quarantine.Request{Method: in.r.Method, Host: in.r.Host, Path: in.r.URL.Path}
-		mark, err := d.Suspects.Start(now, h.backend, fp, what)
+		request := quarantine.Request{Method: in.r.Method, Host: in.r.Host, Path: in.r.URL.Path}
+		suspectToken, err := d.Suspects.Start(now, h.backend, fp, request)
 		if err != nil {
 			return asRefusal(err)
 		}
-		h.mark, h.marked = mark, true
+		h.suspectToken, h.suspectStarted = suspectToken, true
 	}
 	return nil, nil
 }
@@ -95,8 +95,8 @@
 
 // Bounds on the time that is set aside for a refusal to reach the entry node.
 const (
-	maxWordTime  = 20 * time.Millisecond
-	wordTimePart = 8 // of the time left
+	maxRefusalMargin     = 20 * time.Millisecond
+	refusalMarginDivisor = 8 // of the time left
 )
 
 // startBy returns the moment after which a call is not started any more.
@@ -106,8 +106,8 @@
 // moment in which the entry node, whose own bound has passed, breaks the
 // connection off. A booking's caller would be told that nobody knows, and could
 // not send it again. A call that starts so late would not be answered in time.
-func startBy(now, deadline time.Time) time.Time {
-	return deadline.Add(-min(maxWordTime, deadline.Sub(now)/wordTimePart))
+func latestStart(now, deadline time.Time) time.Time {
+	return deadline.Add(-min(maxRefusalMargin, deadline.Sub(now)/refusalMarginDivisor))
 }
 
 // asRefusal returns the refusal that err is, or err.
--- a/internal/proxy/destination_claim.go
+++ b/internal/proxy/destination_claim.go
@@ -9,12 +9,12 @@
 )
 
 // claim makes sure that a keyed call runs once. done says that a is the answer.
-func (d *Destination) claim(ctx context.Context, in *inbound, h *holding) (a answer, done bool) {
+func (d *Destination) claim(ctx context.Context, in *inbound, h *execution) (a answer, done bool) {
 	key := first(in.header, call.HeaderKey)
 	if key == "" || h.target.Idempotent || d.Claims == nil {
 		return answer{}, false
 	}
-	if in.body.noRoom() {
+	if in.body.overBudget() {
 		return answer{refusal: refuse(call.ReasonOverloaded, 0, "no memory for the body")}, true
 	}
 	if in.body.streams() {
@@ -29,7 +29,7 @@
 		h.claim, h.stored, h.deadline = claim, new(Stored), in.deadline
 		return answer{}, false
 	case err == nil && stored.TooLarge:
-		return answer{err: errNotKept}, true
+		return answer{err: errAnswerNotStored}, true
 	case err == nil:
 		h.replayed = true
 		return answer{resp: stored.response(in.r), held: h}, true
@@ -50,7 +50,7 @@
 func fingerprint(in *inbound) [32]byte {
 	s := sha256.New()
 	s.Write([]byte(in.r.Method + " " + in.r.URL.RequestURI() + "\n" + in.hop.service + "\n"))
-	s.Write(in.body.kept)
+	s.Write(in.body.buffered)
 	var f [32]byte
 	s.Sum(f[:0])
 	return f
--- a/internal/proxy/destination_run.go
+++ b/internal/proxy/destination_run.go
@@ -16,16 +16,16 @@
 // that caller has most likely lost its connection and will send the call again,
 // and stopping the backend server half way would leave it nothing to be told
 // but "unknown".
-func (d *Destination) forward(ctx context.Context, in *inbound, h *holding) answer {
+func (d *Destination) forward(ctx context.Context, in *inbound, h *execution) answer {
 	now := d.Now()
-	left := in.deadline.Sub(now)
-	if left <= 0 {
+	remaining := in.deadline.Sub(now)
+	if remaining <= 0 {
 		return answer{refusal: refuse(call.ReasonExpired, 0, "")}
 	}
 	if h.claim != nil && h.claim.Started(ctx) != nil {
 		return answer{refusal: refuse(call.ReasonExpired, 0, "the claim lapsed before the call was run")}
 	}
-	if refusal := d.began(now, h); refusal != nil {
+	if refusal := d.rolloutBegin(now, h); refusal != nil {
 		return answer{refusal: refusal}
 	}
 	h.start = now
@@ -34,8 +34,8 @@
 		ctx = context.WithoutCancel(ctx)
 	}
 	a := d.Upstreams.send(ctx, now, &outbound{
-		in: in.r, header: in.header, body: in.body, addr: h.backend.Addr, wait: left, stall: stallOf(h.target),
-		extra: d.Dialect.Attempt(left, h.backend.Instance),
+		in: in.r, header: in.header, body: in.body, addr: h.backend.Addr, wait: remaining, stall: stallOf(h.target),
+		extra: d.Dialect.Attempt(remaining, h.backend.Instance),
 	})
 	if a.resp == nil {
 		return a
@@ -53,7 +53,7 @@
 	a.load = read.Load
 	dropHopByHop(a.resp.Header)
 	dropOwn(a.resp.Header)
-	h.status, h.answered = a.resp.StatusCode, d.Now()
+	h.status, h.answeredAt = a.resp.StatusCode, d.Now()
 	if h.stored != nil {
 		h.stored.Status = a.resp.StatusCode
 		h.stored.Header = a.resp.Header.Clone()
@@ -64,7 +64,7 @@
 
 // spool reads the answer whole, where that is asked for, and frees the backend
 // server's slot.
-func (d *Destination) spool(a answer, h *holding) answer {
+func (d *Destination) spool(a answer, h *execution) answer {
 	tried, err := d.Spool.read(a.resp)
 	if !tried {
 		return a
@@ -74,6 +74,6 @@
 	}
 	now := d.Now()
 	failed := h.status >= http.StatusInternalServerError
-	h.release(now, limit.Result{Latency: now.Sub(h.start), Failed: failed})
+	h.releaseSlot(now, limit.Result{Latency: now.Sub(h.start), Failed: failed})
 	return a
 }
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -40,7 +40,7 @@
 // Entry takes calls from callers and sends them to destination nodes.
 type Entry struct {
 	EntryParts
-	kept    keptBodies
+	kept    bodyBudget
 	returns returns
 	free    freeShares
 }
@@ -125,8 +125,8 @@
 		return
 	}
 	var err error
-	if c.body, err = takeBody(w, r, &e.kept, c.deadline, c.maxBody); err != nil {
-		e.refuse(w, c, refuseBody(err))
+	if c.body, err = prepareBody(w, r, &e.kept, c.deadline, c.maxBody); err != nil {
+		e.refuse(w, c, refuseIncompleteBody(err))
 		return
 	}
 	defer c.body.release()
@@ -161,7 +161,7 @@
 
 // fingerprintOf recognises a request when it is sent again.
 func fingerprintOf(r *http.Request, h http.Header, b *body) quarantine.Fingerprint {
-	return quarantine.NewFingerprint(r.Method, r.Host, r.URL.Path, r.URL.RawQuery, h, b.length, b.kept)
+	return quarantine.NewFingerprint(r.Method, r.Host, r.URL.Path, r.URL.RawQuery, h, b.length, b.buffered)
 }
 
 // setExpect asks the destination node to say when it wants the body, if the
--- a/internal/proxy/entry_answer.go
+++ b/internal/proxy/entry_answer.go
@@ -14,7 +14,7 @@
 func (e *Entry) answer(w http.ResponseWriter, c *entering, choice Choice, a *answer, sent time.Time) {
 	first := e.Now().Sub(sent)
 	endpoint := choice.Endpoint().ID // the choice is used again after Done
-	p := passed{partial: true}       // should relay panic
+	p := relayResult{partial: true}  // should relay panic
 	defer func() {
 		now := e.Now()
 		rep := report(a, first)
@@ -22,20 +22,20 @@
 		rep.Bytes = p.bytes
 		choice.Done(now, rep)
 		c.class.Answered(now, now.Sub(c.start), rep.Failed)
-		e.Meters.parts.add(c.target.Service, now.Sub(c.start), a.took)
+		e.Meters.latencyParts.add(c.target.Service, now.Sub(c.start), a.took)
 		e.logAnswer(now, c, endpoint, a, p)
 		if e.Suspects != nil && !p.partial {
 			e.Suspects.Answered(now, c.fp)
 		}
 	}()
-	c.body.answering(c.r, w.Header())
+	c.body.closeUnlessRead(c.r, w.Header())
 	if a.held != nil {
-		p = e.Local.pass(w, a)
+		p = e.Local.relayAnswer(w, a)
 	} else {
 		p = relay(w, a.resp, nil)
 		a.resp.Body.Close()
 	}
-	if p.partial || p.gone {
+	if p.partial || p.readerGone {
 		c.body.abort()
 	}
 }
@@ -57,8 +57,8 @@
 	}
 	e.logRefusal(c, r)
 	e.returns.refused(e.Now(), c, r.RetryAfter)
-	c.body.answering(c.r, w.Header())
-	writeRefused(w, r, e.Dialect)
+	c.body.closeUnlessRead(c.r, w.Header())
+	writeCallerRefusal(w, r, e.Dialect)
 }
 
 var finalValue = []string{"1"}
@@ -80,14 +80,14 @@
 // unknown tells the caller that its call may have run.
 func (e *Entry) unknown(w http.ResponseWriter, c *entering) {
 	now := e.Now()
-	if kindOf(c.lost) == unknownStore {
+	if unknownKindOf(c.lost) == unknownStoreDown {
 		// The sending itself was refused; it is no failed answer.
 		c.class.Refused(now, call.ReasonStoreDown)
 	} else {
 		c.class.Answered(now, now.Sub(c.start), true)
 	}
 	e.logUnknown(now, c)
-	c.body.answering(c.r, w.Header())
+	c.body.closeUnlessRead(c.r, w.Header())
 	writeUnknown(w, c.lost)
 }
 
@@ -97,7 +97,7 @@
 	switch {
 	case a.refusal != nil:
 		r.Refused = a.refusal.Reason
-	case a.err != nil && ofKey(kindOf(a.err)):
+	case a.err != nil && isEarlierSending(unknownKindOf(a.err)):
 		// It is the key's earlier sending that may have run. This attempt
 		// reached no backend server, and a client that sends one lost key
 		// over and over must not make its endpoint look like a failing one.
--- a/internal/proxy/entry_log.go
+++ b/internal/proxy/entry_log.go
@@ -55,11 +55,11 @@
 }
 
 // logAnswer tells of an answer that was not as it should be, and counts the rest.
-func (e *Entry) logAnswer(now time.Time, c *entering, endpoint string, a *answer, p passed) {
+func (e *Entry) logAnswer(now time.Time, c *entering, endpoint string, a *answer, p relayResult) {
 	took, aim := now.Sub(c.start), c.target.AnswerWithin()
 	kind, text := decisions.Kind(""), ""
 	switch {
-	case p.partial || p.gone:
+	case p.partial || p.readerGone:
 		kind, text = decisions.Cut, "entry: the answer broke off, or its caller left"
 	case a.resp.StatusCode >= http.StatusInternalServerError:
 		kind, text = decisions.Failed, "entry: pass on the backend server's failure"
--- a/internal/proxy/entry_run.go
+++ b/internal/proxy/entry_run.go
@@ -89,7 +89,7 @@
 		Now: now, Outcome: a.outcome(), Idempotent: c.target.Idempotent,
 		Attempt: c.n, Elapsed: now.Sub(c.start), Remaining: c.deadline.Sub(now),
 		Reached: c.reached, MaxReached: c.target.Attempts,
-		Refusal: a.refusal, BodyReplayable: c.body.reusable(),
+		Refusal: a.refusal, BodyReplayable: c.body.replayable(),
 		Final:         a.refusal != nil && a.refusal.Detail == detailDeep,
 		ParentRetried: c.below, TriedAll: e.Pickers.TriedAll(now, c.target, c.tried),
 		OneShot: e.returns.never(c.target.Name), Overdue: c.overdue(now),
--- a/internal/proxy/holding.go
+++ b/internal/proxy/execution.go
@@ -20,25 +20,25 @@
 
 // recordBound is how long the outcome of a claim may take to be recorded once
 // the call itself is over, when its own deadline no longer counts.
-const recordBound = 5 * time.Second
+const recordTimeout = 5 * time.Second
 
-var holdings = sync.Pool{New: func() any { return new(holding) }}
+var executions = sync.Pool{New: func() any { return new(execution) }}
 
-func newHolding(b Backend, t *config.Target, now time.Time) *holding {
-	h := holdings.Get().(*holding)
+func newExecution(b Backend, t *config.Target, now time.Time) *execution {
+	h := executions.Get().(*execution)
 	h.backend, h.target, h.start = b, t, now
 	return h
 }
 
 // free gives h back for another call. It must have ended.
-func (h *holding) free() {
-	*h = holding{}
-	holdings.Put(h)
+func (h *execution) free() {
+	*h = execution{}
+	executions.Put(h)
 }
 
 // errNotKept means that a keyed call ran, and that its answer was too large to
 // be kept for resends. An answer without its body must not pass for the answer.
-var errNotKept = errors.New("proxy: the answer was not kept")
+var errAnswerNotStored = errors.New("proxy: the answer was not kept")
 
 // errStoreDown means that a keyed call was not run since no claim could be
 // recorded. It is no refusal: whether an earlier sending of the key ran is
@@ -52,17 +52,17 @@
 // The answer is wanted until the call's deadline. It guards against an endless
 // one, whose caller has left: it would hold its slot, and any planned stop, for
 // as long as the backend server sends.
-func (h *holding) keep(now func() time.Time) func([]byte) (wanted bool) {
+func (h *execution) captureBody(now func() time.Time) func([]byte) (wanted bool) {
 	if h == nil || h.stored == nil {
 		return nil
 	}
 	return func(p []byte) bool {
-		h.stored.add(p)
+		h.stored.appendBody(p)
 		return now().Before(h.deadline)
 	}
 }
 
-func (s *Stored) add(p []byte) {
+func (s *Stored) appendBody(p []byte) {
 	if s.TooLarge || len(s.Body)+len(p) > maxStoredBody {
 		s.TooLarge, s.Body = true, nil
 		return
@@ -80,12 +80,12 @@
 }
 
 // abandon ends a call that was not sent on.
-func (h *holding) abandon(d *Destination) {
+func (h *execution) abandon(d *Destination) {
 	now := d.Now()
-	h.release(now, limit.Result{Failed: true})
-	h.unmark(d, now, quarantine.Dropped)
+	h.releaseSlot(now, limit.Result{Failed: true})
+	h.finishSuspect(d, now, quarantine.Dropped)
 	if h.claim != nil {
-		d.record(h.claim.Abandon)
+		d.recordOutcome(h.claim.Abandon)
 	}
 }
 
@@ -94,7 +94,7 @@
 // One that refuses a part of its calls at random, whatever its load, must not be
 // taken for full: its limit would fall to one call at a time, and nearly all that
 // it could run would be refused here. Its word on its load tells the two apart.
-func (a *answer) full() bool {
+func (a *answer) refusedAtCapacity() bool {
 	if a.refusal == nil || a.refusal.Reason != call.ReasonBackend {
 		return false
 	}
@@ -102,40 +102,40 @@
 }
 
 // failed ends a call that has no answer.
-func (h *holding) failed(d *Destination, a *answer) {
+func (h *execution) endUnanswered(d *Destination, a *answer) {
 	now := d.Now()
-	h.release(now, limit.Result{Latency: now.Sub(h.start), Failed: true, Shed: a.full()})
-	end := endOf(a)
-	h.unmark(d, now, end)
+	h.releaseSlot(now, limit.Result{Latency: now.Sub(h.start), Failed: true, Shed: a.refusedAtCapacity()})
+	end := runResultOf(a)
+	h.finishSuspect(d, now, end)
 	// One that ran into its bound says of the backend server that it took so long.
 	if end == quarantine.Broken || a.expired {
-		d.ended(now, h, !a.expired)
+		d.rolloutEnded(now, h, !a.expired)
 	}
 	if h.claim == nil {
 		return
 	}
 	if a.refusal != nil {
-		d.record(h.claim.Abandon)
+		d.recordOutcome(h.claim.Abandon)
 		return
 	}
-	d.record(h.claim.Lost)
+	d.recordOutcome(h.claim.Lost)
 }
 
 // end ends a call whose answer was passed on as p tells.
-func (h *holding) end(d *Destination, p passed) {
+func (h *execution) end(d *Destination, p relayResult) {
 	d.inFlight.Add(-1)
 	if h.replayed {
 		return // nothing was held
 	}
 	now := d.Now()
 	failed := p.partial || h.status >= http.StatusInternalServerError
-	h.release(now, limit.Result{Latency: now.Sub(h.start), Failed: failed})
-	d.ended(h.answered, h, failed)
+	h.releaseSlot(now, limit.Result{Latency: now.Sub(h.start), Failed: failed})
+	d.rolloutEnded(h.answeredAt, h, failed)
 	end := quarantine.Answered
 	if p.partial {
 		end = quarantine.Broken
 	}
-	h.unmark(d, now, end)
+	h.finishSuspect(d, now, end)
 	if d.Meters != nil {
 		d.Meters.Class(h.target).Answered(now, now.Sub(h.start), failed)
 	}
@@ -143,15 +143,15 @@
 		return
 	}
 	if p.partial {
-		d.record(h.claim.Lost)
+		d.recordOutcome(h.claim.Lost)
 		return
 	}
 	// The record is written after h is given back.
 	claim, stored := h.claim, *h.stored
-	d.record(func(ctx context.Context) { claim.Finish(ctx, stored) })
+	d.recordOutcome(func(ctx context.Context) { claim.Finish(ctx, stored) })
 }
 
-func (h *holding) release(_ time.Time, r limit.Result) {
+func (h *execution) releaseSlot(_ time.Time, r limit.Result) {
 	if h.permit != nil {
 		h.permit.Release(r)
 		h.permit = nil
@@ -160,17 +160,17 @@
 
 // endOf tells how a run without an answer ended. One that this node ended, since
 // its bound passed or its caller left, says nothing of the backend server.
-func endOf(a *answer) quarantine.RunResult {
+func runResultOf(a *answer) quarantine.RunResult {
 	if a.refusal != nil || a.expired || errors.Is(a.err, context.Canceled) {
 		return quarantine.Dropped
 	}
 	return quarantine.Broken
 }
 
-func (h *holding) unmark(d *Destination, now time.Time, end quarantine.RunResult) {
-	if h.marked {
-		h.marked = false
-		d.Suspects.Done(now, h.backend, h.mark, end)
+func (h *execution) finishSuspect(d *Destination, now time.Time, end quarantine.RunResult) {
+	if h.suspectStarted {
+		h.suspectStarted = false
+		d.Suspects.Done(now, h.backend, h.suspectToken, end)
 	}
 }
 
@@ -178,13 +178,13 @@
 // for the platform once its answer is there. The caller may have gone by now,
 // and its context with it; the record must be written all the same, and Wait
 // keeps a planned stop from cutting it off.
-func (d *Destination) record(write func(context.Context)) {
-	d.records.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), recordBound)
+func (d *Destination) recordOutcome(write func(context.Context)) {
+	d.outcomeWrites.Go(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 		defer cancel()
 		write(ctx)
 	})
 }
 
 // Wait returns when the outcomes of all calls that have ended are recorded.
-func (d *Destination) Wait() { d.records.Wait() }
+func (d *Destination) Wait() { d.outcomeWrites.Wait() }
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -213,8 +213,8 @@
 	})
 	m.dest[0].Drain()
 	for range 2 { // whichever endpoint comes first
-		_, body, err := m.call("POST", "/photos", strings.Repeat("x", 4*maxKeptBody))
-		if err != nil || body != strconv.Itoa(4*maxKeptBody) {
+		_, body, err := m.call("POST", "/photos", strings.Repeat("x", 4*maxBufferedBody))
+		if err != nil || body != strconv.Itoa(4*maxBufferedBody) {
 			t.Fatalf("got %q %v", body, err)
 		}
 	}
--- a/internal/proxy/full_test.go
+++ b/internal/proxy/full_test.go
@@ -22,7 +22,7 @@
 		{"refused by this node", answer{refusal: &call.Refusal{Reason: call.ReasonOverloaded}}, false},
 		{"lost", answer{err: errWaited}, false},
 	} {
-		if got := c.a.full(); got != c.want {
+		if got := c.a.refusedAtCapacity(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -231,7 +231,7 @@
 func TestKeyedCallBesideManyUploads(t *testing.T) {
 	m, _ := newKeyedMesh(t, func(http.ResponseWriter, *http.Request) {})
 	for _, d := range m.dest {
-		if !d.kept.take(keptBodyTotal) {
+		if !d.bodies.reserve(maxBufferedTotal) {
 			t.Fatal("no memory to begin with")
 		}
 	}
--- a/internal/proxy/late_refusal_test.go
+++ b/internal/proxy/late_refusal_test.go
@@ -37,8 +37,8 @@
 	})
 	m.dest[0].Gates = refusesLate{after: 1200 * time.Millisecond}
 	m.picks.next.Store(^uint64(0)) // the next pick is dest[0]
-	_, body, err := m.call("POST", "/photos", strings.Repeat("x", 4*maxKeptBody))
-	if err != nil || body != strconv.Itoa(4*maxKeptBody) {
+	_, body, err := m.call("POST", "/photos", strings.Repeat("x", 4*maxBufferedBody))
+	if err != nil || body != strconv.Itoa(4*maxBufferedBody) {
 		t.Fatalf("got %q %v", body, err)
 	}
 }
--- a/internal/proxy/part_times.go
+++ b/internal/proxy/latency_parts.go
@@ -21,19 +21,19 @@
 
 // partTimes holds a histogram a part for each service. Services are few, so the
 // number of series stays bounded however many classes there are.
-type partTimes struct{ byService sync.Map }
+type partHistograms struct{ byService sync.Map }
 
 // serviceTimes are the histograms of one service.
-type serviceTimes struct{ way, wait, run histogram }
+type serviceHistograms struct{ overhead, wait, run histogram }
 
 // add takes in an answered call that took total in all.
-func (p *partTimes) add(service string, total time.Duration, t took) {
+func (p *partHistograms) add(service string, total time.Duration, t destinationTimes) {
 	v, ok := p.byService.Load(service)
 	if !ok {
-		v, _ = p.byService.LoadOrStore(service, new(serviceTimes))
+		v, _ = p.byService.LoadOrStore(service, new(serviceHistograms))
 	}
-	s := v.(*serviceTimes)
-	s.way.add(total - t.wait - t.run)
+	s := v.(*serviceHistograms)
+	s.overhead.add(total - t.wait - t.run)
 	s.wait.add(t.wait)
 	s.run.add(t.run)
 }
@@ -41,9 +41,9 @@
 // LatencyParts calls visit with the histogram of each part of each service that
 // calls which entered here went to.
 func (m *Meters) LatencyParts(visit func(service string, p LatencyPart, h Histogram)) {
-	m.parts.byService.Range(func(service, v any) bool {
-		s := v.(*serviceTimes)
-		visit(service.(string), PartOverhead, s.way.read())
+	m.latencyParts.byService.Range(func(service, v any) bool {
+		s := v.(*serviceHistograms)
+		visit(service.(string), PartOverhead, s.overhead.read())
 		visit(service.(string), PartWait, s.wait.read())
 		visit(service.(string), PartRun, s.run.read())
 		return true
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -18,18 +18,18 @@
 const (
 	// bulkFrom is how much of an answer goes out at once; what is behind it is
 	// bulk. Answers to lookups have a few kilobytes.
-	bulkFrom = 16 << 10
+	bulkThreshold = 16 << 10
 	// bulkPart is the part of the link that bulk may fill together with small
 	// answers. Beyond three quarters the queue in front of a link grows quickly.
-	bulkPart = 0.75
+	bulkShare = 0.75
 	// smallMbps is what small answers and the nodes' own messages are taken to
 	// need, in Mbit/s: about those of 60 calls a second. bulkLeast is the part of
 	// the link that bulk gets in any case.
-	smallMbps = 1.0
-	bulkLeast = 0.3
+	smallAnswerMbps = 1.0
+	minBulkShare    = 0.3
 	// bulkChunk is what is written of bulk in one go: at the slowest links in
 	// use, of 5 Mbit/s, 7 ms.
-	bulkChunk = 4 << 10
+	bulkChunkBytes = 4 << 10
 )
 
 // bytesPerMbit is a megabit in bytes.
@@ -40,14 +40,14 @@
 // that it ends at all, and at most answerMost, so that what else arrives there gets
 // through.
 const (
-	answerAim   = 0.4
-	answerLeast = 0.3
-	answerMost  = 0.7
+	answerTimeShare = 0.4
+	minAnswerShare  = 0.3
+	maxAnswerShare  = 0.7
 )
 
 // linkPart is the part of a class's answer time that a large answer may wait for
 // the link. Behind it there is still the run itself and the way.
-const linkPart = 0.25
+const maxLinkWaitShare = 0.25
 
 // LinkPacer paces the large answers that leave this VM, and refuses calls whose answers
 // it could not carry in time.
@@ -62,23 +62,23 @@
 	mbps float64
 	bulk *rate.Limiter
 	// waiting are the bytes of bulk that are to go out, expected ones included.
-	waiting atomic.Int64
-	sizes   sync.Map // class to *linkSize
+	pendingBytes atomic.Int64
+	answerSizes  sync.Map // class to *linkSize
 }
 
 // linkSize is the mean size of a class's answers, in bytes.
-type linkSize struct{ mean atomic.Int64 }
+type answerSize struct{ mean atomic.Int64 }
 
 // linkSizeWeight is the weight of one answer in that mean, as a divisor.
-const linkSizeWeight = 8
+const answerSizeWeight = 8
 
 // NewLinkPacer returns the pace of a link, or nil, which paces nothing, for zero.
 func NewLinkPacer(mbps float64) *LinkPacer {
 	if mbps <= 0 {
 		return nil
 	}
-	bulk := max(mbps*bulkPart-smallMbps, mbps*bulkLeast)
-	return &LinkPacer{mbps: mbps, bulk: rate.NewLimiter(rate.Limit(bulk*bytesPerMbit), bulkChunk)}
+	bulk := max(mbps*bulkShare-smallAnswerMbps, mbps*minBulkShare)
+	return &LinkPacer{mbps: mbps, bulk: rate.NewLimiter(rate.Limit(bulk*bytesPerMbit), bulkChunkBytes)}
 }
 
 // Wait returns how long a large answer that came now would wait.
@@ -86,38 +86,38 @@
 	if l == nil {
 		return 0
 	}
-	return time.Duration(float64(l.waiting.Load()) / float64(l.bulk.Limit()) * float64(time.Second))
+	return time.Duration(float64(l.pendingBytes.Load()) / float64(l.bulk.Limit()) * float64(time.Second))
 }
 
 // expect reserves room for an answer of the class, and returns what was reserved.
 // A refusal means that the answer would wait too long.
-func (l *LinkPacer) expect(t *config.Target) (int64, *call.Refusal) {
+func (l *LinkPacer) reserve(t *config.Target) (int64, *call.Refusal) {
 	if l == nil {
 		return 0, nil
 	}
-	n := l.size(t.Name).mean.Load() - bulkFrom
+	n := l.size(t.Name).mean.Load() - bulkThreshold
 	if n <= 0 {
 		return 0, nil
 	}
 	wait := l.Wait()
-	if aim := t.AnswerWithin(); aim > 0 && wait > time.Duration(linkPart*float64(aim)) {
+	if within := t.AnswerWithin(); within > 0 && wait > time.Duration(maxLinkWaitShare*float64(within)) {
 		return 0, refuse(call.ReasonLinkFull, wait, "the VM's link has no room in time")
 	}
-	l.waiting.Add(n)
+	l.pendingBytes.Add(n)
 	return n, nil
 }
 
-func (l *LinkPacer) size(class string) *linkSize {
-	if s, ok := l.sizes.Load(class); ok {
-		return s.(*linkSize)
+func (l *LinkPacer) size(class string) *answerSize {
+	if s, ok := l.answerSizes.Load(class); ok {
+		return s.(*answerSize)
 	}
-	s, _ := l.sizes.LoadOrStore(class, new(linkSize))
-	return s.(*linkSize)
+	s, _ := l.answerSizes.LoadOrStore(class, new(answerSize))
+	return s.(*answerSize)
 }
 
 // settle replaces what was expected of an answer by its real size, and returns what
 // is now reserved.
-func (l *LinkPacer) settle(class string, expected, size int64) int64 {
+func (l *LinkPacer) adjust(class string, expected, size int64) int64 {
 	if l == nil {
 		return 0
 	}
@@ -125,50 +125,50 @@
 	if old := s.Load(); old == 0 {
 		s.Store(size)
 	} else {
-		s.Store(old + (size-old)/linkSizeWeight)
+		s.Store(old + (size-old)/answerSizeWeight)
 	}
-	real := max(size-bulkFrom, 0)
-	l.waiting.Add(real - expected)
-	return real
+	actual := max(size-bulkThreshold, 0)
+	l.pendingBytes.Add(actual - expected)
+	return actual
 }
 
 // free gives up a reservation.
 func (l *LinkPacer) free(reserved int64) {
 	if l != nil {
-		l.waiting.Add(-reserved)
+		l.pendingBytes.Add(-reserved)
 	}
 }
 
 // pace returns a writer of one answer of a class over the link to a VM whose own
 // link has the given rate in Mbit/s, zero if it is not known. Size is that of the
 // answer, or negative.
-func (l *LinkPacer) pace(ctx context.Context, w http.ResponseWriter, t *config.Target, far float64, size int64) http.ResponseWriter {
+func (l *LinkPacer) pace(ctx context.Context, w http.ResponseWriter, t *config.Target, remoteMbps float64, size int64) http.ResponseWriter {
 	if l == nil {
 		return w
 	}
 	p := &pacedWriter{ResponseWriter: w, link: l, ctx: ctx}
-	if far > 0 {
-		p.own = rate.NewLimiter(rate.Limit(answerRate(t, far*bytesPerMbit, size)), bulkChunk)
+	if remoteMbps > 0 {
+		p.answerLimit = rate.NewLimiter(rate.Limit(answerRate(t, remoteMbps*bytesPerMbit, size)), bulkChunkBytes)
 	}
 	return p
 }
 
 // answerRate returns the pace of one answer, and takes and returns bytes a second.
 func answerRate(t *config.Target, link float64, size int64) float64 {
-	aimed := 0.0
-	if aim := t.AnswerWithin(); aim > 0 && size > 0 {
-		aimed = float64(size) / (answerAim * aim.Seconds())
+	needed := 0.0
+	if within := t.AnswerWithin(); within > 0 && size > 0 {
+		needed = float64(size) / (answerTimeShare * within.Seconds())
 	}
-	return min(max(aimed, link*answerLeast), link*answerMost)
+	return min(max(needed, link*minAnswerShare), link*maxAnswerShare)
 }
 
 // pacedWriter holds the bulk of an answer to the pace of its link.
 type pacedWriter struct {
 	http.ResponseWriter
-	link *LinkPacer
-	own  *rate.Limiter // of this answer, or nil
-	ctx  context.Context
-	sent int
+	link        *LinkPacer
+	answerLimit *rate.Limiter // of this answer, or nil
+	ctx         context.Context
+	sent        int
 }
 
 // Unwrap is for http.ResponseController.
@@ -186,8 +186,8 @@
 func (p *pacedWriter) Write(b []byte) (int, error) {
 	done := 0
 	for done < len(b) {
-		part := b[done:min(done+bulkChunk, len(b))]
-		if p.sent >= bulkFrom {
+		part := b[done:min(done+bulkChunkBytes, len(b))]
+		if p.sent >= bulkThreshold {
 			if err := p.wait(len(part)); err != nil {
 				return done, err
 			}
@@ -198,7 +198,7 @@
 		if err != nil {
 			return done, err
 		}
-		if p.sent >= bulkFrom {
+		if p.sent >= bulkThreshold {
 			p.Flush()
 		}
 	}
@@ -207,8 +207,8 @@
 
 // wait waits until n bytes of bulk may go out.
 func (p *pacedWriter) wait(n int) error {
-	if p.own != nil {
-		if err := p.own.WaitN(p.ctx, n); err != nil {
+	if p.answerLimit != nil {
+		if err := p.answerLimit.WaitN(p.ctx, n); err != nil {
 			return err
 		}
 	}
@@ -220,17 +220,17 @@
 
 // fastMbps is the rate from which a link needs no pacing: the largest answers that
 // are taken in whole, of a megabyte, go over it in some 40 ms.
-const fastMbps = 200
+const unpacedMbps = 200
 
 // setRate notes the rate of this VM's link in a call to another node.
-func (l *LinkPacer) setRate(h http.Header) {
-	if l != nil && l.mbps < fastMbps {
+func (l *LinkPacer) setLinkRate(h http.Header) {
+	if l != nil && l.mbps < unpacedMbps {
 		h[headerLinkRate] = []string{strconv.FormatFloat(l.mbps, 'f', -1, 64)}
 	}
 }
 
 // parseRate returns the rate that setRate noted, or zero.
-func parseRate(h http.Header) float64 {
+func parseLinkRate(h http.Header) float64 {
 	value := first(h, headerLinkRate)
 	if value == "" {
 		return 0 // unknown links are the rule, and an error costs an allocation
--- a/internal/proxy/look.go
+++ b/internal/proxy/look.go
@@ -86,7 +86,7 @@
 // A keyed call claims its key before it may wait, which is a write to the platform, and
 // a suspect has to go where it is sent.
 func (c *entering) mayLook() bool {
-	if c.n > 0 || c.isolated || !c.body.reusable() || c.body.length > lookBodyMost {
+	if c.n > 0 || c.isolated || !c.body.replayable() || c.body.length > lookBodyMost {
 		return false
 	}
 	return c.target.Idempotent || first(c.r.Header, call.HeaderKey) == ""
--- a/internal/proxy/meters.go
+++ b/internal/proxy/meters.go
@@ -23,13 +23,13 @@
 
 // Windows of the meters: the last minute in parts.
 const (
-	windowParts = 6
-	windowPart  = 10 * time.Second
+	windowCount  = 6
+	windowLength = 10 * time.Second
 )
 
 // window holds the counts of one part of the last minute.
 type window struct {
-	part     atomic.Int64 // number of the part since the epoch
+	index    atomic.Int64 // number of the part since the epoch
 	answered atomic.Uint64
 	failed   atomic.Uint64
 	inTarget atomic.Uint64
@@ -43,18 +43,18 @@
 // be lost with it; the meters are for people and for sharing of rates, not for
 // accounting.
 type ClassMeter struct {
-	name   string
-	target atomic.Pointer[config.Target]
-	parts  [windowParts]window
-	totals totals
+	name    string
+	target  atomic.Pointer[config.Target]
+	windows [windowCount]window
+	totals  totals
 }
 
 // Meters holds the meters of all classes.
 type Meters struct {
 	byClass sync.Map
 	// other counts refusals of calls that belong to no class.
-	other totals
-	parts partTimes
+	unmatched    totals
+	latencyParts partHistograms
 }
 
 // NewMeters returns empty meters.
@@ -89,15 +89,15 @@
 }
 
 // Refused counts a call that was not run.
-func (c *ClassMeter) Refused(now time.Time, why call.Reason) {
-	c.totals.refuse(why)
+func (c *ClassMeter) Refused(now time.Time, reason call.Reason) {
+	c.totals.refuse(reason)
 	w := c.window(now)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.refused == nil {
 		w.refused = make(map[call.Reason]uint64)
 	}
-	w.refused[why]++
+	w.refused[reason]++
 }
 
 func (c *ClassMeter) within(latency time.Duration) bool {
@@ -108,9 +108,9 @@
 // window returns the counts of the present part, emptied if they are of an
 // earlier minute.
 func (c *ClassMeter) window(now time.Time) *window {
-	part := now.UnixNano() / int64(windowPart)
-	w := &c.parts[part%windowParts]
-	if old := w.part.Load(); old != part && w.part.CompareAndSwap(old, part) {
+	index := now.UnixNano() / int64(windowLength)
+	w := &c.windows[index%windowCount]
+	if old := w.index.Load(); old != index && w.index.CompareAndSwap(old, index) {
 		w.reset()
 	}
 	return w
@@ -143,7 +143,7 @@
 }
 
 // upperBound returns the largest latency of a bucket.
-func upperBound(i int) time.Duration {
+func bucketUpperBound(i int) time.Duration {
 	if i < subBuckets {
 		return time.Duration(i) * time.Microsecond
 	}
@@ -177,19 +177,19 @@
 func (m *Meters) Stats(now time.Time) []ClassStats {
 	var out []ClassStats
 	m.byClass.Range(func(_, v any) bool {
-		out = append(out, v.(*ClassMeter).figures(now))
+		out = append(out, v.(*ClassMeter).stats(now))
 		return true
 	})
 	return out
 }
 
-func (c *ClassMeter) figures(now time.Time) ClassStats {
+func (c *ClassMeter) stats(now time.Time) ClassStats {
 	f := ClassStats{Class: c.name, Refused: make(map[call.Reason]uint64)}
 	var sum [buckets]uint64
-	part := now.UnixNano() / int64(windowPart)
-	for i := range c.parts {
-		w := &c.parts[i]
-		if part-w.part.Load() < windowParts {
+	index := now.UnixNano() / int64(windowLength)
+	for i := range c.windows {
+		w := &c.windows[i]
+		if index-w.index.Load() < windowCount {
 			w.addTo(&f, &sum)
 		}
 	}
@@ -211,8 +211,8 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for why, n := range w.refused {
-		f.Refused[why] += n
+	for reason, n := range w.refused {
+		f.Refused[reason] += n
 	}
 }
 
@@ -220,7 +220,7 @@
 	var out []LatencyCount
 	for i, n := range sum {
 		if n > 0 {
-			out = append(out, LatencyCount{upperBound(i), n})
+			out = append(out, LatencyCount{bucketUpperBound(i), n})
 		}
 	}
 	return out
@@ -240,7 +240,7 @@
 	for i, n := range counts {
 		seen += n
 		if n > 0 && seen > rank || seen == total {
-			return upperBound(i)
+			return bucketUpperBound(i)
 		}
 	}
 	return 0
--- a/internal/proxy/meters_test.go
+++ b/internal/proxy/meters_test.go
@@ -16,7 +16,7 @@
 			t.Fatalf("%v: bucket %d after %d", d, i, last)
 		}
 		last = i
-		up := upperBound(i)
+		up := bucketUpperBound(i)
 		if up < d || up > d+d/subBuckets+time.Microsecond {
 			t.Fatalf("%v: the bound of its bucket is %v", d, up)
 		}
@@ -54,7 +54,7 @@
 		t.Fatalf("%d calls in the histogram, up to %v", calls, last)
 	}
 	// After a minute nothing of it is left, and the parts are used again.
-	later := now.Add(windowParts * windowPart)
+	later := now.Add(windowCount * windowLength)
 	if f := m.Stats(later)[0]; f.Answered != 0 || len(f.Refused) != 0 {
 		t.Fatalf("a minute later: %+v", f)
 	}
--- a/internal/proxy/notrun.go
+++ b/internal/proxy/notrun.go
@@ -27,13 +27,13 @@
 // before the call is sent on.
 
 // refuse returns the refusal of a call that this node has not sent on.
-func refuse(why call.Reason, after time.Duration, detail string) *call.Refusal {
-	return &call.Refusal{Reason: why, RetryAfter: after, Detail: detail}
+func refuse(reason call.Reason, retryAfter time.Duration, detail string) *call.Refusal {
+	return &call.Refusal{Reason: reason, RetryAfter: retryAfter, Detail: detail}
 }
 
 // unsent returns a refusal if it is certain that no byte of the attempt was or
 // will be written, and nil otherwise.
-func (a *attempt) unsent() *call.Refusal {
+func (a *attempt) refusalIfUnsent() *call.Refusal {
 	if !a.barConn() {
 		return nil
 	}
@@ -58,11 +58,11 @@
 
 // refusedByNode returns the refusal that another node marked, or nil.
 func refusedByNode(h http.Header) *call.Refusal {
-	why := first(h, call.HeaderNotRun)
-	if why == "" {
+	reason := first(h, call.HeaderNotRun)
+	if reason == "" {
 		return nil
 	}
-	r := &call.Refusal{Reason: call.Reason(why), RetryAfter: parseComeBack(h), Detail: first(h, headerDetail)}
+	r := &call.Refusal{Reason: call.Reason(reason), RetryAfter: parseRetryAfterMS(h), Detail: first(h, headerDetail)}
 	if first(h, headerDeep) != "" {
 		r.Detail = detailDeep
 	}
@@ -80,7 +80,7 @@
 
 // parseComeBack returns when to come back; a node of an earlier version says it as
 // callers are told.
-func parseComeBack(h http.Header) time.Duration {
+func parseRetryAfterMS(h http.Header) time.Duration {
 	value := first(h, headerComeBack)
 	if value == "" {
 		return parseRetryAfter(h)
@@ -102,7 +102,7 @@
 	retryAfterDefault     = time.Second
 	// storeDownSpread keeps callers whose claims failed together from coming
 	// back together.
-	storeDownSpread = 4 * time.Second
+	storeDownJitter = 4 * time.Second
 )
 
 // problem is the body of a refusal, as application/problem+json.
@@ -117,7 +117,7 @@
 // writeRefusal answers another node that the call was not run. It has no body and
 // nothing else that only people read: under overload a call may be refused by several
 // nodes, and with a problem document each refusal took 326 bytes.
-func writeRefusal(w http.ResponseWriter, r *call.Refusal) {
+func writeNodeRefusal(w http.ResponseWriter, r *call.Refusal) {
 	h := w.Header()
 	h[call.HeaderNotRun] = []string{string(r.Reason)}
 	h["Date"] = nil
@@ -136,7 +136,7 @@
 }
 
 // writeRefused answers that the call was not run, as d says it.
-func writeRefused(w http.ResponseWriter, r *call.Refusal, d Dialect) {
+func writeCallerRefusal(w http.ResponseWriter, r *call.Refusal, d Dialect) {
 	h := w.Header()
 	h.Set(call.HeaderNotRun, string(r.Reason))
 	if r.Detail == detailDeep {
@@ -160,17 +160,17 @@
 type unknownKind string
 
 const (
-	unknownLost    unknownKind = "lost"
-	unknownWaited  unknownKind = "waited"
-	unknownKey     unknownKind = "key"
-	unknownNotKept unknownKind = "not-kept"
-	unknownStore   unknownKind = "store-down"
-	unknownTooLong unknownKind = "too-large"
+	unknownLost         unknownKind = "lost"
+	unknownTimeout      unknownKind = "waited"
+	unknownKeyOutcome   unknownKind = "key"
+	unknownNotStored    unknownKind = "not-kept"
+	unknownStoreDown    unknownKind = "store-down"
+	unknownBodyTooLarge unknownKind = "too-large"
 )
 
 // ofKey reports whether the kind tells of an earlier sending of the key.
-func ofKey(kind unknownKind) bool {
-	return kind == unknownKey || kind == unknownNotKept || kind == unknownStore
+func isEarlierSending(kind unknownKind) bool {
+	return kind == unknownKeyOutcome || kind == unknownNotStored || kind == unknownStoreDown
 }
 
 // unknownError is what another node said of a call that may have run.
@@ -180,21 +180,21 @@
 	return "proxy: the destination has no answer: " + string(e.kind)
 }
 
-func kindOf(err error) unknownKind {
+func unknownKindOf(err error) unknownKind {
 	var u *unknownError
 	switch {
 	case errors.As(err, &u):
 		return u.kind
 	case errors.Is(err, ErrOutcomeUnknown):
-		return unknownKey
-	case errors.Is(err, errNotKept):
-		return unknownNotKept
+		return unknownKeyOutcome
+	case errors.Is(err, errAnswerNotStored):
+		return unknownNotStored
 	case errors.Is(err, errStoreDown):
-		return unknownStore
+		return unknownStoreDown
 	case errors.Is(err, errWaited):
-		return unknownWaited
+		return unknownTimeout
 	case errors.Is(err, errBodyTooLong):
-		return unknownTooLong
+		return unknownBodyTooLarge
 	}
 	return unknownLost
 }
@@ -208,21 +208,21 @@
 	if defect.On(defect.RefuseUnknown) {
 		p.Status = http.StatusServiceUnavailable
 	}
-	switch kindOf(err) {
-	case unknownWaited:
+	switch unknownKindOf(err) {
+	case unknownTimeout:
 		p.Status, p.Detail = http.StatusGatewayTimeout, "no answer came within the deadline"
-	case unknownTooLong:
+	case unknownBodyTooLarge:
 		p.Status, p.Detail = http.StatusRequestEntityTooLarge, "the body grew longer than callers may send"
-	case unknownKey:
+	case unknownKeyOutcome:
 		p.Status, p.Detail = http.StatusConflict, "an earlier call with this key may have run, and its answer is not known"
-	case unknownNotKept:
+	case unknownNotStored:
 		p.Status, p.Detail = http.StatusConflict, "an earlier call with this key was answered, and its answer was too large to keep"
 		p.Title = "the call has run"
-	case unknownStore:
+	case unknownStoreDown:
 		p.Status, p.Reason = http.StatusServiceUnavailable, call.ReasonStoreDown
 		p.Title = "an earlier call with this key may have run"
 		p.Detail = "this sending was not run, since the claim could not be recorded; send again with the same key"
-		w.Header().Set("Retry-After", retryAfterSeconds(retryAfterDefault+rand.N(storeDownSpread)))
+		w.Header().Set("Retry-After", retryAfterSeconds(retryAfterDefault+rand.N(storeDownJitter)))
 	}
 	writeProblem(w, p)
 }
--- a/internal/proxy/patience_test.go
+++ b/internal/proxy/patience_test.go
@@ -51,10 +51,10 @@
 		{"broken here", answer{err: io.ErrUnexpectedEOF}, true},
 		{"broken at the destination", answer{err: &unknownError{unknownLost}}, true},
 		{"waited here", answer{err: errWaited, expired: true}, false},
-		{"waited at the destination", answer{err: &unknownError{unknownWaited}}, false},
+		{"waited at the destination", answer{err: &unknownError{unknownTimeout}}, false},
 		{"broken by the bound", answer{err: io.ErrUnexpectedEOF, expired: true}, false},
 		{"caller left", answer{err: context.Canceled}, false},
-		{"key", answer{err: &unknownError{unknownKey}}, false},
+		{"key", answer{err: &unknownError{unknownKeyOutcome}}, false},
 		{"refused", answer{refusal: refuse("overloaded", 0, "")}, false},
 		{"answered", answer{resp: new(http.Response)}, false},
 	} {
@@ -75,7 +75,7 @@
 		{80 * time.Millisecond, 70 * time.Millisecond},
 		{0, 0},
 	} {
-		if got := startBy(now, now.Add(tt.left)).Sub(now); got != tt.want {
+		if got := latestStart(now, now.Add(tt.left)).Sub(now); got != tt.want {
 			t.Errorf("%s left: waits %s, want %s", tt.left, got, tt.want)
 		}
 	}
--- a/internal/proxy/refusal_test.go
+++ b/internal/proxy/refusal_test.go
@@ -19,7 +19,7 @@
 		{Reason: call.ReasonDraining},
 	} {
 		w := httptest.NewRecorder()
-		writeRefusal(w, &want)
+		writeNodeRefusal(w, &want)
 		got := refusedByNode(w.Result().Header)
 		if got == nil || *got != want {
 			t.Errorf("got %+v, want %+v", got, want)
--- a/internal/proxy/report_test.go
+++ b/internal/proxy/report_test.go
@@ -14,7 +14,7 @@
 // out, which had run all that reached it well.
 func TestUnknownKeyDoesNotEjectTheEndpoint(t *testing.T) {
 	for kind, eject := range map[unknownKind]bool{
-		unknownKey: false, unknownNotKept: false, unknownStore: false, unknownLost: true, unknownWaited: true,
+		unknownKeyOutcome: false, unknownNotStored: false, unknownStoreDown: false, unknownLost: true, unknownTimeout: true,
 	} {
 		t.Run(string(kind), func(t *testing.T) {
 			now := time.Unix(1000, 0)
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -44,7 +44,7 @@
 		header[headerNoWait] = noWaitValue
 	}
 	if e.Local != nil {
-		e.Local.Link.setRate(header)
+		e.Local.Link.setLinkRate(header)
 	}
 	a := e.Upstreams.send(ctx, now, &outbound{
 		in: c.r, header: header, body: &c.body, addr: ep.Addr, vm: ep.VM, wait: h.left, stall: stallOf(c.target),
@@ -85,7 +85,7 @@
 	if e.WaitOut {
 		return left
 	}
-	if c.target.Idempotent && c.n == 1 && c.body.reusable() {
+	if c.target.Idempotent && c.n == 1 && c.body.replayable() {
 		return min(left, max(left/2, c.target.AnswerWithin()*3/2))
 	}
 	return left
@@ -107,7 +107,7 @@
 	}
 	a.load = parseLoad(a.resp.Header)
 	a.linkWait = wait
-	a.took = parseTook(a.resp.Header)
+	a.took = parseDestinationTimes(a.resp.Header)
 	dropHopByHop(a.resp.Header)
 	dropOwn(a.resp.Header)
 	return a
--- a/internal/proxy/spool.go
+++ b/internal/proxy/spool.go
@@ -9,10 +9,10 @@
 )
 
 // maxSpooled bounds one answer that is read whole before it is passed on.
-const maxSpooled = 1 << 20
+const maxSpooledBytes = 1 << 20
 
 // errBroken means that an answer broke off before it was passed on.
-var errBroken = errors.New("proxy: the answer broke off")
+var errAnswerTruncated = errors.New("proxy: the answer broke off")
 
 // Spool bounds the memory of the answers that a node has read and not yet passed
 // on. A nil Spool reads none.
@@ -34,7 +34,7 @@
 // An answer without a length is passed on as it comes, since it may be endless.
 func (s *Spool) read(resp *http.Response) (tried bool, err error) {
 	n := resp.ContentLength
-	if s == nil || n <= 0 || n > maxSpooled || bodyless(resp) {
+	if s == nil || n <= 0 || n > maxSpooledBytes || hasNoBody(resp) {
 		return false, nil
 	}
 	if s.used.Add(n) > s.limit {
@@ -46,21 +46,21 @@
 	resp.Body.Close()
 	if err != nil {
 		s.used.Add(-n)
-		return true, errors.Join(errBroken, err)
+		return true, errors.Join(errAnswerTruncated, err)
 	}
-	resp.Body = &spooled{Reader: bytes.NewReader(whole), spool: s, n: n}
+	resp.Body = &spooledBody{Reader: bytes.NewReader(whole), spool: s, n: n}
 	return true, nil
 }
 
 // spooled is the body of an answer that was read whole.
-type spooled struct {
+type spooledBody struct {
 	*bytes.Reader
 	spool *Spool
 	n     int64
 }
 
 // Close gives the memory back.
-func (b *spooled) Close() error {
+func (b *spooledBody) Close() error {
 	b.spool.used.Add(-b.n)
 	b.n = 0
 	return nil
--- a/internal/proxy/spool_test.go
+++ b/internal/proxy/spool_test.go
@@ -22,7 +22,7 @@
 // another endpoint.
 func TestSpoolSeesBrokenAnswers(t *testing.T) {
 	s := NewSpool(1 << 20)
-	if tried, err := s.read(response(10, strings.NewReader("half"))); !tried || !errors.Is(err, errBroken) {
+	if tried, err := s.read(response(10, strings.NewReader("half"))); !tried || !errors.Is(err, errAnswerTruncated) {
 		t.Errorf("broken: %v %v", tried, err)
 	}
 	if s.used.Load() != 0 {
@@ -46,7 +46,7 @@
 // those over the bound, and those for which there is no memory left.
 func TestSpoolPassesOnTheRest(t *testing.T) {
 	s := NewSpool(8)
-	for _, n := range []int64{-1, 0, 9, maxSpooled + 1} {
+	for _, n := range []int64{-1, 0, 9, maxSpooledBytes + 1} {
 		if tried, err := s.read(response(n, strings.NewReader("x"))); tried || err != nil {
 			t.Errorf("length %d: %v %v", n, tried, err)
 		}
@@ -64,15 +64,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // whoever waits for the pace is told so at once
 	w := httptest.NewRecorder()
-	small, err := l.pace(ctx, w, new(config.Target), 0, -1).Write(make([]byte, bulkFrom))
-	if small != bulkFrom || err != nil {
+	small, err := l.pace(ctx, w, new(config.Target), 0, -1).Write(make([]byte, bulkThreshold))
+	if small != bulkThreshold || err != nil {
 		t.Errorf("a small answer: %d bytes, %v", small, err)
 	}
-	large, err := l.pace(ctx, w, new(config.Target), 0, -1).Write(make([]byte, 2*bulkFrom))
-	if large >= 2*bulkFrom || err == nil {
+	large, err := l.pace(ctx, w, new(config.Target), 0, -1).Write(make([]byte, 2*bulkThreshold))
+	if large >= 2*bulkThreshold || err == nil {
 		t.Errorf("a large answer: %d bytes, %v", large, err)
 	}
-	if got, want := float64(l.bulk.Limit()), bytesPerSecond*bulkPart-smallMbps*bytesPerMbit; got != want {
+	if got, want := float64(l.bulk.Limit()), bytesPerSecond*bulkShare-smallAnswerMbps*bytesPerMbit; got != want {
 		t.Errorf("bulk goes at %.0f bytes a second, not %.0f", got, want)
 	}
 	if NewLinkPacer(0) != nil {
@@ -95,10 +95,10 @@
 	}{
 		{800, 280_000, 11, 0.636},
 		{1000, 90_000, 5, 0.36},
-		{1000, 20_000, 5, answerLeast},
-		{1000, 540_000, 5, answerMost},
-		{0, 90_000, 5, answerLeast},
-		{1000, -1, 5, answerLeast},
+		{1000, 20_000, 5, minAnswerShare},
+		{1000, 540_000, 5, maxAnswerShare},
+		{0, 90_000, 5, minAnswerShare},
+		{1000, -1, 5, minAnswerShare},
 	} {
 		link := c.mbps * bytesPerMbit
 		got := answerRate(&config.Target{AnswerWithinMS: c.aimMS}, link, c.size) / link
--- a/internal/proxy/totals.go
+++ b/internal/proxy/totals.go
@@ -18,10 +18,10 @@
 // totals count the calls of a class since the start of the node. A recording is
 // a few atomic additions and takes no lock.
 type totals struct {
-	failed   atomic.Uint64
-	inTarget atomic.Uint64
-	times    histogram
-	refused  sync.Map // call.Reason to *atomic.Uint64
+	failed    atomic.Uint64
+	inTarget  atomic.Uint64
+	latencies histogram
+	refused   sync.Map // call.Reason to *atomic.Uint64
 }
 
 // histogram counts times since the start of the node.
@@ -33,7 +33,7 @@
 func (h *histogram) add(d time.Duration) {
 	us := uint64(max(d.Microseconds(), 0))
 	h.micros.Add(us)
-	h.counts[powerOf(us)].Add(1)
+	h.counts[histogramBucket(us)].Add(1)
 }
 
 func (h *histogram) read() Histogram {
@@ -50,7 +50,7 @@
 }
 
 func (t *totals) answered(latency time.Duration, failed, inTarget bool) {
-	t.times.add(latency)
+	t.latencies.add(latency)
 	switch {
 	case failed:
 		t.failed.Add(1)
@@ -61,7 +61,7 @@
 
 // powerOf returns the index of the bucket for a latency: the first whose bound
 // is not below it.
-func powerOf(us uint64) int {
+func histogramBucket(us uint64) int {
 	for p := firstPower; p <= lastPower; p++ {
 		if us <= 1<<p {
 			return p - firstPower
@@ -70,10 +70,10 @@
 	return lastPower - firstPower + 1
 }
 
-func (t *totals) refuse(why call.Reason) {
-	n, ok := t.refused.Load(why)
+func (t *totals) refuse(reason call.Reason) {
+	n, ok := t.refused.Load(reason)
 	if !ok {
-		n, _ = t.refused.LoadOrStore(why, new(atomic.Uint64))
+		n, _ = t.refused.LoadOrStore(reason, new(atomic.Uint64))
 	}
 	n.(*atomic.Uint64).Add(1)
 }
@@ -109,22 +109,22 @@
 		out = append(out, c.totals.read(c.name))
 		return true
 	})
-	if o := m.other.read(""); len(o.Refused) > 0 {
+	if o := m.unmatched.read(""); len(o.Refused) > 0 {
 		out = append(out, o)
 	}
 	return out
 }
 
 // RefusedUnmatched counts a refusal of a call that belongs to no class.
-func (m *Meters) RefusedUnmatched(why call.Reason) { m.other.refuse(why) }
+func (m *Meters) RefusedUnmatched(reason call.Reason) { m.unmatched.refuse(reason) }
 
 func (t *totals) read(class string) ClassTotals {
 	out := ClassTotals{
 		Class: class, Failed: t.failed.Load(), InTarget: t.inTarget.Load(),
-		Answered: t.times.read(), Refused: make(map[call.Reason]uint64),
+		Answered: t.latencies.read(), Refused: make(map[call.Reason]uint64),
 	}
-	t.refused.Range(func(why, n any) bool {
-		out.Refused[why.(call.Reason)] = n.(*atomic.Uint64).Load()
+	t.refused.Range(func(reason, n any) bool {
+		out.Refused[reason.(call.Reason)] = n.(*atomic.Uint64).Load()
 		return true
 	})
 	return out
