--- a/internal/proxy/baseline.go
+++ b/internal/proxy/baseline.go
@@ -13,7 +13,7 @@
 	"github.com/marlpass/marlpass/internal/retry"
 )
 
-// The policies in this file are the plain ones that ours are measured against.
+// This file holds the simple policies that serve as a baseline in measurements.
 
 // RoundRobin picks the endpoints of each service in turn.
 type RoundRobin struct {
@@ -21,10 +21,11 @@
 	endpoints atomic.Pointer[map[string][]Endpoint]
 }
 
-// Set replaces the endpoints, by service.
+// Set replaces the endpoints of all services.
 func (p *RoundRobin) Set(byService map[string][]Endpoint) { p.endpoints.Store(&byService) }
 
-// Pick returns the next endpoint that was not tried. No call looks around with it.
+// Pick returns the next untried endpoint. It never offers a call to an endpoint for a free slot
+// only.
 func (p *RoundRobin) Pick(_ time.Time, t *config.Target, a Ask) (Choice, error) {
 	if a.Look != LookNot {
 		return nil, ErrTriedAll
@@ -44,7 +45,7 @@
 	return nil, ErrTriedAll
 }
 
-// PickFixed returns the endpoint that the key names.
+// PickFixed returns the endpoint selected by key.
 func (p *RoundRobin) PickFixed(now time.Time, t *config.Target, key uint64, tried []string) (Choice, error) {
 	m := p.endpoints.Load()
 	if len(tried) > 0 || m == nil || len((*m)[t.Service]) == 0 {
@@ -67,37 +68,36 @@
 // Endpoint returns the endpoint.
 func (c *baselineChoice) Endpoint() Endpoint { return Endpoint(*c) }
 
-// Done learns nothing.
+// Done ignores the report.
 func (c *baselineChoice) Done(time.Time, Report) {}
 
-// RetryUpTo sends a call again until it was sent so many times, at once, but
-// never one that is not idempotent and may have run.
+// RetryUpTo is the maximum number of attempts of a call. It retries at once, but never a call that
+// is not idempotent and may have run.
 type RetryUpTo int
 
-// Called counts nothing.
+// Called does nothing.
 func (RetryUpTo) Called(string) {}
 
-// Decide tells whether to send the call again.
+// Decide reports whether to retry the call.
 func (n RetryUpTo) Decide(_ string, in retry.Input) retry.Decision {
 	safe := in.BodyReplayable && (in.Idempotent || in.Outcome == call.NotRun)
 	return retry.Decision{Retry: safe && in.Attempt < int(n)}
 }
 
-// RetryAlwaysUpTo sends a call again until it was sent so many times, whether
-// or not it may have run. It is what a retry rule that knows of errors alone
-// does, and runs calls twice.
+// RetryAlwaysUpTo is the maximum number of attempts of a call. It retries at once whether or not
+// the call may have run, as a retry rule based on errors alone does, and so can run a call twice.
 type RetryAlwaysUpTo int
 
-// Called counts nothing.
+// Called does nothing.
 func (RetryAlwaysUpTo) Called(string) {}
 
-// Decide tells whether to send the call again.
+// Decide reports whether to retry the call.
 func (n RetryAlwaysUpTo) Decide(_ string, in retry.Input) retry.Decision {
 	return retry.Decision{Retry: in.BodyReplayable && in.Attempt < int(n)}
 }
 
-// FixedLimit runs as many calls at once as a backend server has slots. Others
-// wait first come, first served, until their deadline.
+// FixedLimit bounds the concurrent calls of a backend server by its slots. Other calls wait in FIFO
+// order until their deadline.
 type FixedLimit struct {
 	mu    sync.Mutex
 	slots map[fixedKey]chan struct{}
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -13,13 +13,13 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// Bounds on request bodies kept for another attempt.
+// Bounds on request bodies buffered for retries, in bytes.
 const (
 	maxBufferedBody  = 64 << 10
 	maxBufferedTotal = 32 << 20
 )
 
-// keptBodies bounds the memory of all kept bodies of a node.
+// bodyBudget bounds the memory of all buffered bodies of a node.
 type bodyBudget struct{ used atomic.Int64 }
 
 func (k *bodyBudget) reserve(n int64) bool {
@@ -32,36 +32,36 @@
 
 func (k *bodyBudget) free(n int64) { k.used.Add(-n) }
 
-// body is the body of a request on its way. A small one of known length is
-// read whole first, and can be sent again. Another streams, and can be sent
-// again only as long as nothing of it was read.
+// body is a request body. A small body of known length is buffered first and can be sent again. Any
+// other body streams, and can be sent again only as long as nothing of it was read.
 type body struct {
 	length   int64
-	buffered []byte // nil when it streams
+	buffered []byte // nil if it streams
 	stream   *streamBody
 	budget   *bodyBudget
 }
 
-// streamBody is a caller's body that is passed on as it comes. It notes whether
-// anything was asked of it.
+// streamBody is a caller's body that is forwarded while it arrives. It records whether reading has
+// started.
 type streamBody struct {
 	io.ReadCloser
 	caller      *http.ResponseController
 	readStarted atomic.Bool
 	ended       atomic.Bool
-	// room is how many bytes more may come; negative for any number.
+	// remaining is how many more bytes the caller may send; negative means unlimited.
 	remaining int64
 
 	mu       sync.Mutex
-	sentOn   *conn // the connection that the body goes out on now; nil before the first
-	finished bool  // the caller's connection may serve another call
-	aborted  bool  // abort has ended the reading
+	sentOn   *conn // the connection that the body is sent on; nil before the first attempt
+	finished bool  // the call is over; the caller's connection may serve another one
+	aborted  bool  // abort has interrupted the reading
 }
 
-// newStreamBody lets the answer begin before the body has ended.
+// newStreamBody returns the body of r as a stream, and lets the answer begin before the body has
+// ended.
 func newStreamBody(w http.ResponseWriter, r *http.Request, maxBytes int64) *streamBody {
 	c := http.NewResponseController(w)
-	// HTTP/2 needs no such leave and says so with an error.
+	// HTTP/2 is always full duplex and returns an error here.
 	_ = c.EnableFullDuplex()
 	s := &streamBody{ReadCloser: r.Body, caller: c, remaining: -1}
 	if maxBytes > 0 {
@@ -70,12 +70,11 @@
 	return s
 }
 
-// errBodyTooLong ends a body of unknown length that grew past its bound. The
-// transport gives it back as the error of the attempt, which is therefore not taken
-// for the crash of a backend server.
+// errBodyTooLong ends a body of unknown length that exceeds its bound. The transport returns it as
+// the error of the attempt, which is therefore not counted as a crash of the backend server.
 var errBodyTooLong = errors.New("proxy: the body is longer than callers may send")
 
-// Read marks the body as used before it reads.
+// Read marks the body as read before it reads.
 func (s *streamBody) Read(p []byte) (int, error) {
 	s.readStarted.Store(true)
 	n, err := s.ReadCloser.Read(p)
@@ -84,7 +83,7 @@
 	}
 	if s.remaining >= 0 {
 		if int64(n) > s.remaining {
-			// The end of the body is still to come: the caller's connection
+			// The rest of the body is still unread, so the caller's connection
 			// cannot serve another call.
 			return 0, errBodyTooLong
 		}
@@ -96,8 +95,8 @@
 	return n, err
 }
 
-// errBodyCut ends a body whose connection onwards broke. Without a name of its own the logs
-// would show the time-out by which abort ends the read, as if the caller had been too slow.
+// errBodyConnBroke ends a body whose upstream connection broke. Without it the logs would show the
+// timeout by which abort interrupts the read, as if the caller had been too slow.
 var errBodyConnBroke = errors.New("proxy: the connection on which the body was sent broke")
 
 func (s *streamBody) wasAborted() bool {
@@ -106,19 +105,19 @@
 	return s.aborted
 }
 
-// sendOn notes that the body goes out on c from now on, and on no other connection.
+// sendOn records that the body is sent on c from now on, and on no other connection.
 func (s *streamBody) sendOn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sentOn = c
 }
 
-// connClosed ends the reading if the body was going out on c.
+// connClosed aborts the reading if the body was being sent on c.
 //
-// It guards an upload that an endpoint refused unread against that endpoint's
-// connection. The transport closes it a while after the refusal was read, when the body
-// may be on its way to the next endpoint. Ending the read then would cut the upload in its
-// middle, and its caller would be told "may have run" of a call that nothing was wrong with.
+// The check of c protects an upload that an endpoint refused unread. The transport closes the
+// connection to that endpoint some time after the refusal was read, when the body may be on its way
+// to the next endpoint. Aborting the read then would cut the upload, and its caller would get "may
+// have run" for a call that nothing was wrong with.
 func (s *streamBody) connClosed(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,17 +126,15 @@
 	}
 }
 
-// abort ends a read that waits for the caller.
+// abort interrupts a read that waits for the caller.
 //
-// It guards against a call that hangs: when the connection onwards breaks, the
-// transport's RoundTrip waits for its writer, and that waits for a caller who
-// sends nothing more. The caller would never learn that its call is lost. The
-// end of the connection onwards therefore ends the read too.
+// It guards against a call that hangs: when the upstream connection breaks, the transport's
+// RoundTrip waits for its writer, which waits for a caller that sends nothing more. The caller
+// would never get an answer.
 //
-// It does nothing once the call is over. The transport closes a connection on
-// which the rest of a body was to go a while after the answer was passed on.
-// The caller's connection may serve its next call by then, which the deadline
-// would cut off.
+// It does nothing once the call is over. The transport closes a connection with an unsent rest of a
+// body some time after the answer was relayed. By then the caller's connection may serve its next
+// call, which the read deadline would break.
 func (s *streamBody) abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,24 +149,23 @@
 	_ = s.caller.SetReadDeadline(time.Unix(1, 0))
 }
 
-// leave ends the power of abort. It must be called before the handler returns.
+// finish disables abort. It must be called before the handler returns.
 func (s *streamBody) finish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.finished = true
 }
 
-// Close leaves the caller's body open: net/http closes it when the handler
-// returns, and another attempt may still need it.
+// Close leaves the caller's body open: net/http closes it when the handler returns, and another
+// attempt may still need it.
 func (s *streamBody) Close() error { return nil }
 
-// takeBody prepares the body of r, of which no more than most bytes are read
-// unless most is zero. Its error is that of the caller's
-// connection: the body came incomplete, or not before the call's deadline.
+// prepareBody prepares the body of r, and buffers it if it is small. A streamed body may have at
+// most maxBytes bytes, unless that is zero. The error is that of the caller's connection: the body
+// was incomplete or did not arrive before the call's deadline.
 //
-// It guards against a caller that falls silent before the end of a small body.
-// Nothing else ends the read: the call would hold its memory for ever, and a
-// stop of the node would wait for it.
+// The read deadline guards against a caller that stops sending in a small body. Nothing else ends
+// that read: the call would hold its memory forever, and a shutdown of the node would wait for it.
 func prepareBody(w http.ResponseWriter, r *http.Request, budget *bodyBudget, deadline time.Time, maxBytes int64) (body, error) {
 	switch {
 	case r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0:
@@ -184,14 +180,14 @@
 		b.release()
 		return body{}, err
 	}
-	// Or net/http, which reads on to see the caller leave, would take the
-	// deadline for that.
+	// Otherwise net/http, which reads on to detect that the caller leaves, would
+	// mistake the deadline for that.
 	_ = c.SetReadDeadline(time.Time{})
 	return b, nil
 }
 
-// refuseBody returns the refusal of a call whose body did not come in time. It
-// breaks off when the caller's connection broke: there is nobody to tell.
+// refuseIncompleteBody returns the refusal of a call whose body did not arrive in time. It aborts
+// the handler if the caller's connection broke.
 func refuseIncompleteBody(err error) *call.Refusal {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		panic(http.ErrAbortHandler)
@@ -199,7 +195,7 @@
 	return refuse(call.ReasonExpired, 0, "the body did not come in time")
 }
 
-// open returns the body for one attempt.
+// open returns the body for one attempt, and its length.
 func (b *body) open() (io.ReadCloser, int64) {
 	switch {
 	case b.stream != nil:
@@ -210,19 +206,19 @@
 	return http.NoBody, 0
 }
 
-// reusable reports whether the body can be sent again.
+// replayable reports whether the body can be sent again.
 func (b *body) replayable() bool { return b.stream == nil || !b.stream.readStarted.Load() }
 
-// streams reports whether the body is passed on as it comes.
+// streams reports whether the body is forwarded while it arrives.
 func (b *body) streams() bool { return b.stream != nil }
 
-// answering must be called before the header of an answer is written.
+// closeUnlessRead announces the end of an HTTP/1.1 connection whose request body was not read to
+// its end. It must be called before the header of an answer is written.
 //
-// It guards the caller's next call. When a handler leaves a part of a body
-// unread after EnableFullDuplex, net/http reads that part once the answer is
-// out, and then breaks the connection by a panic of its own ("invalid concurrent
-// Body.Read call"). A caller that was told nothing has sent its next call by
-// then, and cannot know whether it ran. HTTP/2 has no such connection.
+// It guards the caller's next call. If a handler leaves a part of a body unread after
+// EnableFullDuplex, net/http reads that part after the answer, and then breaks the connection with
+// a panic of its own ("invalid concurrent Body.Read call"). A caller that was not warned has sent
+// its next call by then, and cannot know whether it ran. HTTP/2 does not have this problem.
 func (b *body) closeUnlessRead(r *http.Request, h http.Header) {
 	if b.stream != nil && !b.stream.ended.Load() && r.ProtoMajor == 1 {
 		h["Connection"] = closeValue
@@ -231,14 +227,13 @@
 
 var closeValue = []string{"close"}
 
-// noRoom reports whether the body streams only because the memory for kept
-// bodies is used up.
+// overBudget reports whether the body streams only because the memory for buffered bodies is used
+// up.
 func (b *body) overBudget() bool { return b.streams() && b.length >= 0 && b.length <= maxBufferedBody }
 
-// abort breaks the caller's connection off, so that a cut answer does not look
-// whole. net/http reads on in an unfinished request body before it closes the
-// connection, for which a caller that sends nothing more would wait for ever;
-// ending the read first prevents that.
+// abort breaks the caller's connection, so that a truncated answer does not look complete. Before
+// net/http closes the connection it reads the rest of an unfinished request body, for which a
+// caller that sends nothing more would wait forever; interrupting the read first prevents that.
 func (b *body) abort() {
 	if b.stream != nil {
 		b.stream.abort()
@@ -246,9 +241,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// release ends the use of the body by its call, and gives the memory of a kept
-// one back to the budget. The bytes themselves are left to the collector: the
-// transport may still read them.
+// release ends the use of the body by its call, and returns the memory of a buffered body to the
+// budget. The buffer itself is left to the garbage collector, as the transport may still read it.
 func (b *body) release() {
 	if b.stream != nil {
 		b.stream.finish()
--- a/internal/proxy/destination.go
+++ b/internal/proxy/destination.go
@@ -14,41 +14,42 @@
 	"github.com/marlpass/marlpass/internal/retry"
 )
 
-// DestinationOptions are what a Destination is made of. Gates, Claims and
-// Suspects may be nil; then nothing is queued, claimed or quarantined.
+// DestinationOptions holds the settings and dependencies of a Destination. Gates, Claims and
+// Suspects may be nil; the Destination then does not queue, claim or quarantine calls.
 type DestinationOptions struct {
 	Programs Programs
 	Backends Backends
 	Gates    Gates
-	// SlotUse tells how a backend server's slots are used, for the logs; it may be
-	// nil.
+	// SlotUse returns the slot usage of a backend server, for load reports and logs; nil means
+	// unknown.
 	SlotUse   func(Backend) SlotUse
 	Claims    Keeper
 	Suspects  Suspects
-	Rollouts  Rollouts // nil where versions make no difference
+	Rollouts  Rollouts // nil if no rollouts are managed
 	Upstreams *Upstreams
 	Meters    *Meters
 	Tracer    *Tracer
-	Dialect   Dialect // marlpass's own when nil
-	// Spool, if set, takes answers in before they are passed on, and Link paces
-	// those that go to other VMs.
+	Dialect   Dialect // ownDialect if nil
+	// Spool, if set, buffers whole answers before they are relayed. Link paces answers to other
+	// VMs.
 	Spool *Spool
 	Link  *LinkPacer
-	// Decisions takes a line for each decision that needs one; nil writes none.
+	// Decisions receives a log line for each refusal, failure or long wait; nil disables these
+	// lines.
 	Decisions *decisions.Log
-	Now       func() time.Time // time.Now when nil
+	Now       func() time.Time // time.Now if nil
 }
 
-// Destination passes calls to the backend servers of its own VM.
+// Destination forwards calls to the backend servers of its own VM.
 type Destination struct {
 	DestinationOptions
 	bodies        bodyBudget
 	draining      atomic.Bool
 	inFlight      atomic.Int64
-	outcomeWrites sync.WaitGroup // outcomes of claims being written
+	outcomeWrites sync.WaitGroup // pending writes of claim outcomes
 }
 
-// NewDestination returns a Destination that takes calls.
+// NewDestination returns a Destination that accepts calls.
 func NewDestination(p DestinationOptions) *Destination {
 	if p.Now == nil {
 		p.Now = time.Now
@@ -59,13 +60,13 @@
 	return &Destination{DestinationOptions: p}
 }
 
-// Drain makes the Destination refuse new calls. Those that run go on.
+// Drain makes the Destination refuse new calls. Running calls continue.
 func (d *Destination) Drain() { d.draining.Store(true) }
 
-// InFlight returns how many calls are running.
+// InFlight returns the number of running calls.
 func (d *Destination) InFlight() int64 { return d.inFlight.Load() }
 
-// ServeHTTP takes a call from another node.
+// ServeHTTP implements http.Handler for calls from other nodes.
 func (d *Destination) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := d.Now()
 	h, ok := parseHop(first(r.Header, call.HeaderHop))
@@ -105,7 +106,7 @@
 	d.writeAnswer(d.Link.pace(ctx, w, d.target(in.hop), remoteMbps, size), &a, &in.ownBody)
 }
 
-// doRemote runs a call whose answer goes out over this VM's link.
+// doRemote runs a call from another node, with room reserved on this VM's link for its answer.
 func (d *Destination) doRemote(ctx context.Context, now time.Time, in *inbound) answer {
 	expected, refusal := d.Link.reserve(d.target(in.hop))
 	if refusal != nil {
@@ -121,7 +122,7 @@
 	return a
 }
 
-// finish writes the answer to the entry node.
+// writeAnswer writes the answer, refusal or unknown outcome to the entry node.
 func (d *Destination) writeAnswer(w http.ResponseWriter, a *answer, b *body) {
 	switch {
 	case a.refusal != nil:
@@ -131,7 +132,7 @@
 		w.Header()[headerUnknown] = []string{string(unknownKindOf(a.err))}
 		writeUnknown(w, a.err)
 	default:
-		w.Header()["Date"] = nil // the caller's own node sets it
+		w.Header()["Date"] = nil // set by the entry node
 		if load := d.loadAfter(a); load.Known {
 			w.Header()[call.HeaderLoad] = loadValue(load)
 		}
@@ -144,9 +145,9 @@
 	}
 }
 
-// loadAfter returns the load of the backend server once this call has ended. Its gate
-// knows of the calls that wait there, of which the backend server knows nothing; calls
-// that were given up and run on are known to the backend server alone.
+// loadAfter returns the load of the backend server after this call. It combines two sources: only
+// the gate counts calls that wait for a slot, and only the backend server counts calls that were
+// abandoned but still run.
 func (d *Destination) loadAfter(a *answer) Load {
 	if d.SlotUse == nil || a.held == nil || a.held.replayed {
 		return a.load
@@ -154,44 +155,44 @@
 	use := d.SlotUse(a.held.backend)
 	busy := use.Busy + use.Waiting
 	if a.held.permit != nil {
-		busy-- // this call holds its slot until its answer is passed on
+		busy-- // the slot is released once the answer is relayed
 	}
 	return Load{Busy: max(busy, a.load.Busy-1, 0), Slots: use.Limit, Known: use.Limit > 0}
 }
 
-// pass relays the answer and ends the holding.
+// relayAnswer relays the answer and ends the execution.
 func (d *Destination) relayAnswer(w http.ResponseWriter, a *answer) (p relayResult) {
 	defer func() {
 		a.resp.Body.Close()
 		a.held.end(d, p)
 		a.held.free()
 	}()
-	p.partial = true // should relay panic, as on a status that HTTP has not
+	p.partial = true // holds if relay panics, as on an invalid HTTP status
 	return relay(w, a.resp, a.held.captureBody(d.Now))
 }
 
-// inbound is a call as it reached the destination.
+// inbound is a call received by the destination.
 type inbound struct {
 	r         *http.Request
-	header    http.Header // may be changed
+	header    http.Header // may be modified
 	body      *body
-	ownBody   body // what body points to when another node sent the call
+	ownBody   body // storage for body if another node sent the call
 	hop       hop
 	deadline  time.Time
-	linkBytes int64 // of the link, for the answer
+	linkBytes int64 // reserved on the link for the answer
 }
 
 var inbounds = sync.Pool{New: func() any { return new(inbound) }}
 
-// free gives in back for another call.
+// free returns in to the pool.
 func (in *inbound) free() {
 	in.ownBody.release()
 	*in = inbound{}
 	inbounds.Put(in)
 }
 
-// do runs a call, or refuses it. When it returns a response, the caller must
-// pass it on with relay, close its body, and end the holding.
+// do runs a call or refuses it. When it returns a response, the caller must relay it, close its
+// body and end the execution.
 func (d *Destination) do(ctx context.Context, now time.Time, in *inbound) answer {
 	b, t, refusal := d.admit(now, in)
 	if refusal != nil {
@@ -209,27 +210,28 @@
 	return a
 }
 
-// holding is what a call holds at its destination while it runs.
+// execution is the state of a call at its destination: the slot, claim and suspect token that it
+// holds while it runs.
 type execution struct {
 	backend Backend
 	target  *config.Target
 	start   time.Time
-	// answered is when the answer began; zero if there is none yet.
+	// answeredAt is when the answer began; zero before that.
 	answeredAt time.Time
-	// deadline is that of a call with a claim.
+	// deadline is set for calls with a claim only.
 	deadline       time.Time
 	claim          Claim
 	permit         Permit
 	suspectToken   quarantine.Token
 	suspectStarted bool
 	status         int
-	stored         *Stored // what to record for the claim
-	// replayed says that the answer is the stored one of an earlier call.
+	stored         *Stored // the answer to store for the claim
+	// replayed is set if the answer is the stored answer of an earlier call.
 	replayed bool
 }
 
-// hold claims, queues and sends the call, in this order: a claim is a write to
-// the platform, and no slot may be held while the platform is slow.
+// execute claims, queues and forwards the call, in this order: a claim is a write to the platform,
+// and no slot may be held while the platform is slow.
 func (d *Destination) execute(ctx context.Context, now time.Time, in *inbound, b Backend, t *config.Target) answer {
 	h := newExecution(b, t, now)
 	if a, done := d.claim(ctx, in, h); done {
@@ -237,7 +239,7 @@
 	}
 	refusal, err := d.acquire(ctx, now, in, h)
 	if err != nil {
-		// The caller gave up before the call was sent on.
+		// The caller left before the call was forwarded.
 		refusal = refuse(call.ReasonExpired, 0, "the caller gave up")
 	}
 	if refusal != nil {
@@ -254,7 +256,8 @@
 	return a
 }
 
-// began and ended tell the rollouts of a call that is sent to a backend server.
+// rolloutBegin reports a call that is about to be sent to a backend server. A refusal means that
+// the rollout does not allow it.
 func (d *Destination) rolloutBegin(now time.Time, h *execution) *call.Refusal {
 	if d.Rollouts == nil {
 		return nil
@@ -262,6 +265,7 @@
 	return d.Rollouts.Begin(now, h.backend.Instance)
 }
 
+// rolloutEnded reports the end of a call that was sent to a backend server.
 func (d *Destination) rolloutEnded(at time.Time, h *execution, failed bool) {
 	if d.Rollouts != nil {
 		d.Rollouts.Ended(at, h.backend.Instance, h.target.Name, at.Sub(h.start), failed)
--- a/internal/proxy/destination_admit.go
+++ b/internal/proxy/destination_admit.go
@@ -13,7 +13,7 @@
 	"github.com/marlpass/marlpass/internal/quarantine"
 )
 
-// check refuses what can be refused without waiting.
+// admit returns the backend server and class of a call, or a refusal that needs no waiting.
 func (d *Destination) admit(now time.Time, in *inbound) (Backend, *config.Target, *call.Refusal) {
 	var noBackend Backend
 	if d.draining.Load() {
@@ -38,9 +38,8 @@
 	return b, d.target(in.hop), nil
 }
 
-// target finds the class here. A node may be a version behind the one that
-// matched the call and not know its class yet: the call then runs by the
-// strictest rules, as not idempotent and with the default priority.
+// target returns the class of a call. A node that is a version behind the entry node may not have
+// the class yet. It then applies the strictest rules: not idempotent, default priority.
 func (d *Destination) target(h hop) *config.Target {
 	if t := d.Programs.Program().Targets.Target(h.class, h.service); t != nil {
 		return t
@@ -48,7 +47,8 @@
 	return &config.Target{Name: h.class, Service: h.service}
 }
 
-// enter waits for a slot and asks whether the request is suspected.
+// acquire waits for a slot, and refuses a suspect that is quarantined or pinned to another
+// endpoint.
 func (d *Destination) acquire(ctx context.Context, now time.Time, in *inbound, h *execution) (*call.Refusal, error) {
 	if d.Gates != nil {
 		options := limit.AcquireOptions{
@@ -79,8 +79,9 @@
 	return nil, nil
 }
 
-// caller returns on whose behalf a call is made, as its entry node found by its key. A node may be
-// a version behind and not know the workspace yet: its calls then have the priority of their class.
+// caller returns the workspace that the entry node derived from the caller's key, and its priority.
+// A node that is a version behind may not have the workspace yet; its calls then have the priority
+// of their class.
 func (d *Destination) caller(h http.Header) limit.Caller {
 	keys := d.Programs.Program().Keys
 	if keys == nil {
@@ -93,24 +94,23 @@
 	return limit.Caller{Workspace: name}
 }
 
-// Bounds on the time that is set aside for a refusal to reach the entry node.
+// Bounds on the time reserved for a refusal to reach the entry node before the deadline.
 const (
 	maxRefusalMargin     = 20 * time.Millisecond
-	refusalMarginDivisor = 8 // of the time left
+	refusalMarginDivisor = 8 // divides the remaining time
 )
 
-// startBy returns the moment after which a call is not started any more.
+// latestStart returns the time after which a call is no longer started.
 //
-// It guards against "may have run" for a call that never ran. If a call could
-// wait for its slot until its deadline, the refusal would leave this node in the
-// moment in which the entry node, whose own bound has passed, breaks the
-// connection off. A booking's caller would be told that nobody knows, and could
-// not send it again. A call that starts so late would not be answered in time.
+// It guards against "may have run" for a call that never ran. If a call could wait for its slot
+// until its deadline, the refusal would leave this node just as the entry node's own timeout closes
+// the connection. The caller of a booking would then get an unknown outcome and could not retry
+// safely. A call that starts that late would miss its deadline anyway.
 func latestStart(now, deadline time.Time) time.Time {
 	return deadline.Add(-min(maxRefusalMargin, deadline.Sub(now)/refusalMarginDivisor))
 }
 
-// asRefusal returns the refusal that err is, or err.
+// asRefusal returns err as a refusal if it is one, and as an error otherwise.
 func asRefusal(err error) (*call.Refusal, error) {
 	var r *call.Refusal
 	if errors.As(err, &r) {
--- a/internal/proxy/destination_claim.go
+++ b/internal/proxy/destination_claim.go
@@ -8,7 +8,7 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// claim makes sure that a keyed call runs once. done says that a is the answer.
+// claim makes sure that a keyed call runs at most once. If done is set, a is the final answer.
 func (d *Destination) claim(ctx context.Context, in *inbound, h *execution) (a answer, done bool) {
 	key := first(in.header, call.HeaderKey)
 	if key == "" || h.target.Idempotent || d.Claims == nil {
@@ -46,7 +46,8 @@
 	return answer{refusal: refuse(call.ReasonExpired, 0, "the claim was not made in time")}, true
 }
 
-// fingerprint tells one request from another under the same key.
+// fingerprint returns the SHA-256 of a request's method, URI, service and body. It detects
+// different requests that use the same key.
 func fingerprint(in *inbound) [32]byte {
 	s := sha256.New()
 	s.Write([]byte(in.r.Method + " " + in.r.URL.RequestURI() + "\n" + in.hop.service + "\n"))
--- a/internal/proxy/destination_log.go
+++ b/internal/proxy/destination_log.go
@@ -9,11 +9,11 @@
 	"github.com/marlpass/marlpass/internal/decisions"
 )
 
-// waitPart is the part of a class's answer time from which a wait for a slot is
-// worth a line: a call that waited so long is often late for that alone.
+// loggedWaitDivisor sets when a wait for a slot is logged: from this fraction of the class's target
+// latency on, as such a wait alone often makes a call late.
 const loggedWaitDivisor = 4
 
-// line begins a line about a call at its destination.
+// logLine starts a log line about a call at its destination.
 func (d *Destination) logLine(now time.Time, k decisions.Kind, in *inbound, b Backend) *zerolog.Event {
 	l := d.Decisions.Line(now, k, d.Dialect.ID(in.header))
 	if in.hop.waited > waitedLeast {
@@ -31,7 +31,7 @@
 		Msg("destination: turn the call away as not run")
 }
 
-// logEnd tells of a call that was taken and has no answer.
+// logFailure logs a call that passed admission but has no answer.
 func (d *Destination) logFailure(start time.Time, in *inbound, b Backend, a *answer) {
 	now := d.Now()
 	after := now.Sub(start).Milliseconds()
@@ -46,7 +46,7 @@
 		Msg("destination: the backend server gave no answer that can be passed on")
 }
 
-// slotUse returns what b said of itself with its refusal, or else what its gate says.
+// slotUse returns the load that b reported with its refusal, or else the slot usage of its gate.
 func (d *Destination) slotUse(b Backend, a *answer) SlotUse {
 	if a.load.Known || d.SlotUse == nil {
 		return SlotUse{Busy: a.load.Busy, Limit: a.load.Slots}
--- a/internal/proxy/destination_run.go
+++ b/internal/proxy/destination_run.go
@@ -8,14 +8,12 @@
 	"github.com/marlpass/marlpass/internal/limit"
 )
 
-// forward sends the call to the backend server. It drops Expect, which was
-// between nodes: not every backend server answers it, and each that does not
-// would cost a second.
+// forward sends the call to the backend server. It removes the Expect header, which applies between
+// nodes only: backend servers that do not support it would each cost a second.
 //
-// A keyed call runs to its end, within its deadline, when its caller leaves:
-// that caller has most likely lost its connection and will send the call again,
-// and stopping the backend server half way would leave it nothing to be told
-// but "unknown".
+// A keyed call runs to its end, within its deadline, even if its caller leaves. That caller has
+// most likely lost its connection and will retry. If the backend server were interrupted, the retry
+// could only get an unknown outcome.
 func (d *Destination) forward(ctx context.Context, in *inbound, h *execution) answer {
 	now := d.Now()
 	remaining := in.deadline.Sub(now)
@@ -43,7 +41,7 @@
 	read := d.Dialect.Read(in.header, a.resp)
 	switch {
 	case read.Refusal != nil:
-		// The rest is short, and read for the connection to be used again.
+		// Reads the short rest, so that the connection can be reused.
 		discard(a.resp)
 		return answer{refusal: read.Refusal, load: read.Load}
 	case read.Err != nil:
@@ -62,8 +60,7 @@
 	return d.spool(a, h)
 }
 
-// spool reads the answer whole, where that is asked for, and frees the backend
-// server's slot.
+// spool buffers the whole answer if possible, and then releases the backend server's slot.
 func (d *Destination) spool(a answer, h *execution) answer {
 	tried, err := d.Spool.read(a.resp)
 	if !tried {
--- a/internal/proxy/destination_times.go
+++ b/internal/proxy/destination_times.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// headerTook carries a took back from the destination node.
+// headerTook is the header that returns destinationTimes from the destination node.
 const headerTook = "Marlpass-Took"
 
-// took says what a call's time at its destination went into.
+// destinationTimes splits the time that a call spent at its destination.
 type destinationTimes struct {
 	wait time.Duration // for a slot
-	run  time.Duration // at the backend server, until its answer was there
+	run  time.Duration // at the backend server, until its answer began
 }
 
 // String encodes t in whole milliseconds.
@@ -21,8 +21,8 @@
 	return strconv.FormatInt(t.wait.Milliseconds(), 10) + "/" + strconv.FormatInt(t.run.Milliseconds(), 10)
 }
 
-// parseTook decodes what String made; it is only for logs, and zero if it is not
-// there.
+// parseDestinationTimes decodes the format of String. Its result is used for logs and metrics only,
+// and zero if the header is missing or invalid.
 func parseDestinationTimes(h http.Header) destinationTimes {
 	wait, run, ok := strings.Cut(first(h, headerTook), "/")
 	w, err1 := strconv.ParseInt(wait, 10, 32)
--- a/internal/proxy/execution.go
+++ b/internal/proxy/execution.go
@@ -15,11 +15,11 @@
 	"github.com/marlpass/marlpass/internal/quarantine"
 )
 
-// maxStoredBody bounds the answer that is kept for the resends of a keyed call.
+// maxStoredBody bounds the answer body that is stored for resends of a keyed call, in bytes.
 const maxStoredBody = 64 << 10
 
-// recordBound is how long the outcome of a claim may take to be recorded once
-// the call itself is over, when its own deadline no longer counts.
+// recordTimeout bounds the recording of a claim's outcome. The call's own deadline no longer
+// applies once the call is over.
 const recordTimeout = 5 * time.Second
 
 var executions = sync.Pool{New: func() any { return new(execution) }}
@@ -30,28 +30,28 @@
 	return h
 }
 
-// free gives h back for another call. It must have ended.
+// free returns h to the pool. It must have ended.
 func (h *execution) free() {
 	*h = execution{}
 	executions.Put(h)
 }
 
-// errNotKept means that a keyed call ran, and that its answer was too large to
-// be kept for resends. An answer without its body must not pass for the answer.
-var errAnswerNotStored = errors.New("proxy: the answer was not kept")
+// errAnswerNotStored means that a keyed call ran, and that its answer was too large to be stored
+// for resends. An answer without its body must not be returned as the answer.
+var errAnswerNotStored = errors.New("proxy: the answer was not stored")
 
-// errStoreDown means that a keyed call was not run since no claim could be
-// recorded. It is no refusal: whether an earlier sending of the key ran is
-// written in the platform alone, and a caller told "not run" then would believe
-// it of that sending too, and book anew under another key. A resend under the
-// same key is safe in any case.
+// errStoreDown means that a keyed call was not run because its claim could not be recorded. It is
+// not a refusal: only the platform knows whether an earlier sending of the key ran. A caller that
+// got "not run" would apply that to the earlier sending too, and book again under another key. A
+// resend under the same key is always safe.
 var errStoreDown = errors.New("proxy: the claim could not be recorded")
 
-// keep returns what collects the answer for the claim, or nil.
+// captureBody returns a function that collects the answer body for the claim, or nil without a
+// claim.
 //
-// The answer is wanted until the call's deadline. It guards against an endless
-// one, whose caller has left: it would hold its slot, and any planned stop, for
-// as long as the backend server sends.
+// The function reports whether more of the body is wanted, which ends with the call's deadline.
+// Otherwise an endless answer whose caller has left would hold its slot, and delay any planned
+// shutdown, for as long as the backend server sends.
 func (h *execution) captureBody(now func() time.Time) func([]byte) (wanted bool) {
 	if h == nil || h.stored == nil {
 		return nil
@@ -70,7 +70,7 @@
 	s.Body = append(s.Body, p...)
 }
 
-// response builds the answer to a resend from what was stored.
+// response builds the answer to a resend from the stored answer.
 func (s *Stored) response(r *http.Request) *http.Response {
 	return &http.Response{
 		StatusCode: s.Status, Header: http.Header(s.Header).Clone(),
@@ -79,7 +79,7 @@
 	}
 }
 
-// abandon ends a call that was not sent on.
+// abandon ends a call that was not forwarded.
 func (h *execution) abandon(d *Destination) {
 	now := d.Now()
 	h.releaseSlot(now, limit.Result{Failed: true})
@@ -89,11 +89,11 @@
 	}
 }
 
-// full reports whether a backend server refused for want of room.
+// refusedAtCapacity reports whether a backend server refused the call because it is at capacity.
 //
-// One that refuses a part of its calls at random, whatever its load, must not be
-// taken for full: its limit would fall to one call at a time, and nearly all that
-// it could run would be refused here. Its word on its load tells the two apart.
+// A backend server that refuses a part of its calls at random, whatever its load, must not count as
+// full: its limit would fall to one concurrent call, and this node would refuse nearly all calls
+// that the server could run. The load that it reports tells the two cases apart.
 func (a *answer) refusedAtCapacity() bool {
 	if a.refusal == nil || a.refusal.Reason != call.ReasonBackend {
 		return false
@@ -101,13 +101,13 @@
 	return !a.load.Known || a.load.Busy >= a.load.Slots
 }
 
-// failed ends a call that has no answer.
+// endUnanswered ends a call that has no answer.
 func (h *execution) endUnanswered(d *Destination, a *answer) {
 	now := d.Now()
 	h.releaseSlot(now, limit.Result{Latency: now.Sub(h.start), Failed: true, Shed: a.refusedAtCapacity()})
 	end := runResultOf(a)
 	h.finishSuspect(d, now, end)
-	// One that ran into its bound says of the backend server that it took so long.
+	// A timeout still counts as a slow run of the backend server.
 	if end == quarantine.Broken || a.expired {
 		d.rolloutEnded(now, h, !a.expired)
 	}
@@ -121,11 +121,11 @@
 	d.recordOutcome(h.claim.Lost)
 }
 
-// end ends a call whose answer was passed on as p tells.
+// end ends a call whose answer was relayed with result p.
 func (h *execution) end(d *Destination, p relayResult) {
 	d.inFlight.Add(-1)
 	if h.replayed {
-		return // nothing was held
+		return // a replay holds neither slot nor claim
 	}
 	now := d.Now()
 	failed := p.partial || h.status >= http.StatusInternalServerError
@@ -146,7 +146,7 @@
 		d.recordOutcome(h.claim.Lost)
 		return
 	}
-	// The record is written after h is given back.
+	// The outcome is written after h was returned to the pool.
 	claim, stored := h.claim, *h.stored
 	d.recordOutcome(func(ctx context.Context) { claim.Finish(ctx, stored) })
 }
@@ -158,8 +158,8 @@
 	}
 }
 
-// endOf tells how a run without an answer ended. One that this node ended, since
-// its bound passed or its caller left, says nothing of the backend server.
+// runResultOf returns how a run without an answer ended. A run that this node ended, by a timeout
+// or because its caller left, is no evidence against the backend server.
 func runResultOf(a *answer) quarantine.RunResult {
 	if a.refusal != nil || a.expired || errors.Is(a.err, context.Canceled) {
 		return quarantine.Dropped
@@ -174,10 +174,9 @@
 	}
 }
 
-// record writes the outcome of a claim beside the call, so that no caller waits
-// for the platform once its answer is there. The caller may have gone by now,
-// and its context with it; the record must be written all the same, and Wait
-// keeps a planned stop from cutting it off.
+// recordOutcome writes the outcome of a claim in the background, so that no caller waits for the
+// platform after its answer. It does not use the call's context, as the caller may have left and
+// the outcome must be written all the same. Wait keeps a planned shutdown from interrupting it.
 func (d *Destination) recordOutcome(write func(context.Context)) {
 	d.outcomeWrites.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
@@ -186,5 +185,5 @@
 	})
 }
 
-// Wait returns when the outcomes of all calls that have ended are recorded.
+// Wait returns when the outcomes of all ended calls are recorded.
 func (d *Destination) Wait() { d.outcomeWrites.Wait() }
--- a/internal/proxy/latency_parts.go
+++ b/internal/proxy/latency_parts.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// LatencyPart is where the time of an answered call went.
+// LatencyPart is a part of an answered call's latency.
 type LatencyPart string
 
-// The parts of a call's time.
+// The parts of a call's latency.
 const (
-	// PartOverhead is all that the two others leave: both nodes, the way between
-	// them, and attempts that gave no answer.
+	// PartOverhead is the latency that the two others leave: both nodes, the network between them,
+	// and attempts without an answer.
 	PartOverhead LatencyPart = "way"
 	// PartWait is the wait for a slot of the backend server.
 	PartWait LatencyPart = "wait"
-	// PartRun is the time at the backend server, until its answer was there.
+	// PartRun is the time at the backend server until its answer began.
 	PartRun LatencyPart = "run"
 )
 
-// partTimes holds a histogram a part for each service. Services are few, so the
-// number of series stays bounded however many classes there are.
+// partHistograms holds a histogram for each part and service. There are few services, so the number
+// of series stays bounded however many classes there are.
 type partHistograms struct{ byService sync.Map }
 
-// serviceTimes are the histograms of one service.
+// serviceHistograms are the histograms of one service.
 type serviceHistograms struct{ overhead, wait, run histogram }
 
-// add takes in an answered call that took total in all.
+// add records an answered call with a latency of total.
 func (p *partHistograms) add(service string, total time.Duration, t destinationTimes) {
 	v, ok := p.byService.Load(service)
 	if !ok {
@@ -38,8 +38,8 @@
 	s.run.add(t.run)
 }
 
-// LatencyParts calls visit with the histogram of each part of each service that
-// calls which entered here went to.
+// LatencyParts calls visit with each part's histogram, for each service that received calls which
+// entered the mesh at this node.
 func (m *Meters) LatencyParts(visit func(service string, p LatencyPart, h Histogram)) {
 	m.latencyParts.byService.Range(func(service, v any) bool {
 		s := v.(*serviceHistograms)
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -14,65 +14,65 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// Bounds of what large answers may take of a VM's link.
+// Bounds on the use of a VM's link by large answers.
 const (
-	// bulkFrom is how much of an answer goes out at once; what is behind it is
-	// bulk. Answers to lookups have a few kilobytes.
+	// bulkThreshold is how many bytes of an answer are sent at once; the rest is bulk. Answers to
+	// lookups have a few kilobytes.
 	bulkThreshold = 16 << 10
-	// bulkPart is the part of the link that bulk may fill together with small
-	// answers. Beyond three quarters the queue in front of a link grows quickly.
+	// bulkShare is the share of the link that bulk may fill together with small answers. Beyond
+	// three quarters the queue in front of a link grows quickly.
 	bulkShare = 0.75
-	// smallMbps is what small answers and the nodes' own messages are taken to
-	// need, in Mbit/s: about those of 60 calls a second. bulkLeast is the part of
-	// the link that bulk gets in any case.
+	// smallAnswerMbps is the bandwidth reserved for small answers and the nodes' own messages, in
+	// Mbit/s: about 60 calls a second. minBulkShare is the share of the link that bulk gets in any
+	// case.
 	smallAnswerMbps = 1.0
 	minBulkShare    = 0.3
-	// bulkChunk is what is written of bulk in one go: at the slowest links in
-	// use, of 5 Mbit/s, 7 ms.
+	// bulkChunkBytes is the size of one write of bulk: 7 ms on the slowest links in use, of 5
+	// Mbit/s.
 	bulkChunkBytes = 4 << 10
 )
 
-// bytesPerMbit is a megabit in bytes.
+// bytesPerMbit is the number of bytes in a megabit.
 const bytesPerMbit = 1e6 / 8
 
-// The bulk of one answer takes the part of the receiving VM's link that brings it
-// there within answerAim of its class's answer time, but at least answerLeast, so
-// that it ends at all, and at most answerMost, so that what else arrives there gets
-// through.
+// The bulk of one answer gets the share of the receiving VM's link that delivers it within
+// answerTimeShare of its class's target latency. That share is at least minAnswerShare, so that the
+// answer ends at all, and at most maxAnswerShare, so that other traffic gets through.
 const (
 	answerTimeShare = 0.4
 	minAnswerShare  = 0.3
 	maxAnswerShare  = 0.7
 )
 
-// linkPart is the part of a class's answer time that a large answer may wait for
-// the link. Behind it there is still the run itself and the way.
+// maxLinkWaitShare is the share of a class's target latency that a large answer may wait for the
+// link. The rest is left for the run and the network.
 const maxLinkWaitShare = 0.25
 
-// LinkPacer paces the large answers that leave this VM, and refuses calls whose answers
-// it could not carry in time.
+// LinkPacer paces the large answers that leave this VM, and refuses calls whose answers it could
+// not carry in time.
 //
-// It guards small answers against large ones. A few downloads at once fill the
-// queue in front of a slow link, and every lookup behind them is as late as they
-// are: at 5 Mbit/s and 85% of use, by some hundred milliseconds for each call. With
-// the bulk held back here, the queue in front of the link stays short. What waits
-// here is bounded as well: a download that would come too late is turned away
-// before it runs, while another VM's link may have room.
+// It protects small answers from large ones. A few concurrent downloads fill the queue in front of
+// a slow link, and delay every lookup behind them: at 5 Mbit/s and 85% utilization, by some hundred
+// milliseconds for each call. Pacing the bulk here keeps that queue short. The wait here is bounded
+// as well: a download that would be late is refused before it runs, while another VM's link may
+// have room.
 type LinkPacer struct {
 	mbps float64
 	bulk *rate.Limiter
-	// waiting are the bytes of bulk that are to go out, expected ones included.
+	// pendingBytes is the bulk that is still to be sent, including reservations for expected
+	// answers.
 	pendingBytes atomic.Int64
-	answerSizes  sync.Map // class to *linkSize
+	answerSizes  sync.Map // class to *answerSize
 }
 
-// linkSize is the mean size of a class's answers, in bytes.
+// answerSize is the moving average of the size of a class's answers, in bytes.
 type answerSize struct{ mean atomic.Int64 }
 
-// linkSizeWeight is the weight of one answer in that mean, as a divisor.
+// answerSizeWeight is the divisor by which one answer changes that average.
 const answerSizeWeight = 8
 
-// NewLinkPacer returns the pace of a link, or nil, which paces nothing, for zero.
+// NewLinkPacer returns a pacer for a link of the given rate in Mbit/s. For zero it returns nil,
+// which paces nothing.
 func NewLinkPacer(mbps float64) *LinkPacer {
 	if mbps <= 0 {
 		return nil
@@ -81,7 +81,7 @@
 	return &LinkPacer{mbps: mbps, bulk: rate.NewLimiter(rate.Limit(bulk*bytesPerMbit), bulkChunkBytes)}
 }
 
-// Wait returns how long a large answer that came now would wait.
+// Wait returns how long a large answer that started now would wait.
 func (l *LinkPacer) Wait() time.Duration {
 	if l == nil {
 		return 0
@@ -89,8 +89,8 @@
 	return time.Duration(float64(l.pendingBytes.Load()) / float64(l.bulk.Limit()) * float64(time.Second))
 }
 
-// expect reserves room for an answer of the class, and returns what was reserved.
-// A refusal means that the answer would wait too long.
+// reserve reserves room for an answer of the class, and returns the reserved bytes. It refuses the
+// call if the answer would wait too long.
 func (l *LinkPacer) reserve(t *config.Target) (int64, *call.Refusal) {
 	if l == nil {
 		return 0, nil
@@ -115,8 +115,8 @@
 	return s.(*answerSize)
 }
 
-// settle replaces what was expected of an answer by its real size, and returns what
-// is now reserved.
+// adjust replaces the expected size of an answer by its actual size, and returns the bytes that are
+// now reserved.
 func (l *LinkPacer) adjust(class string, expected, size int64) int64 {
 	if l == nil {
 		return 0
@@ -132,16 +132,15 @@
 	return actual
 }
 
-// free gives up a reservation.
+// free releases a reservation.
 func (l *LinkPacer) free(reserved int64) {
 	if l != nil {
 		l.pendingBytes.Add(-reserved)
 	}
 }
 
-// pace returns a writer of one answer of a class over the link to a VM whose own
-// link has the given rate in Mbit/s, zero if it is not known. Size is that of the
-// answer, or negative.
+// pace returns a writer that paces one answer of a class to a VM. remoteMbps is the rate of that
+// VM's link in Mbit/s, zero if unknown. size is that of the answer in bytes, negative if unknown.
 func (l *LinkPacer) pace(ctx context.Context, w http.ResponseWriter, t *config.Target, remoteMbps float64, size int64) http.ResponseWriter {
 	if l == nil {
 		return w
@@ -153,7 +152,7 @@
 	return p
 }
 
-// answerRate returns the pace of one answer, and takes and returns bytes a second.
+// answerRate returns the rate of one answer over a link; both rates are in bytes per second.
 func answerRate(t *config.Target, link float64, size int64) float64 {
 	needed := 0.0
 	if within := t.AnswerWithin(); within > 0 && size > 0 {
@@ -162,16 +161,16 @@
 	return min(max(needed, link*minAnswerShare), link*maxAnswerShare)
 }
 
-// pacedWriter holds the bulk of an answer to the pace of its link.
+// pacedWriter limits the bulk of an answer to the rate of its link.
 type pacedWriter struct {
 	http.ResponseWriter
 	link        *LinkPacer
-	answerLimit *rate.Limiter // of this answer, or nil
+	answerLimit *rate.Limiter // for this answer alone, or nil
 	ctx         context.Context
 	sent        int
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap supports http.ResponseController.
 func (p *pacedWriter) Unwrap() http.ResponseWriter { return p.ResponseWriter }
 
 // Flush implements http.Flusher.
@@ -181,8 +180,8 @@
 	}
 }
 
-// Write implements io.Writer. Its error is that of the answer's reader, or that
-// the reader has left.
+// Write implements io.Writer. It returns the error of the underlying writer, or that of the context
+// if the reader has left.
 func (p *pacedWriter) Write(b []byte) (int, error) {
 	done := 0
 	for done < len(b) {
@@ -205,7 +204,7 @@
 	return done, nil
 }
 
-// wait waits until n bytes of bulk may go out.
+// wait waits until n bytes of bulk may be sent.
 func (p *pacedWriter) wait(n int) error {
 	if p.answerLimit != nil {
 		if err := p.answerLimit.WaitN(p.ctx, n); err != nil {
@@ -215,25 +214,25 @@
 	return p.link.bulk.WaitN(p.ctx, n)
 }
 
-// headerLinkRate tells a destination the rate of the entry node's link, in Mbit/s.
+// headerLinkRate is the header with the rate of the entry node's link, in Mbit/s.
 const headerLinkRate = "Marlpass-Link-Mbps"
 
-// fastMbps is the rate from which a link needs no pacing: the largest answers that
-// are taken in whole, of a megabyte, go over it in some 40 ms.
+// unpacedMbps is the rate from which a link needs no pacing: the largest buffered answers, of 1
+// MiB, take some 40 ms.
 const unpacedMbps = 200
 
-// setRate notes the rate of this VM's link in a call to another node.
+// setLinkRate adds the rate of this VM's link to a call to another node.
 func (l *LinkPacer) setLinkRate(h http.Header) {
 	if l != nil && l.mbps < unpacedMbps {
 		h[headerLinkRate] = []string{strconv.FormatFloat(l.mbps, 'f', -1, 64)}
 	}
 }
 
-// parseRate returns the rate that setRate noted, or zero.
+// parseLinkRate returns the rate set by setLinkRate, or zero.
 func parseLinkRate(h http.Header) float64 {
 	value := first(h, headerLinkRate)
 	if value == "" {
-		return 0 // unknown links are the rule, and an error costs an allocation
+		return 0 // the header is usually absent, and an error costs an allocation
 	}
 	mbps, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(mbps > 0) {
--- a/internal/proxy/link_wait.go
+++ b/internal/proxy/link_wait.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// headerLinkWait tells the entry node, in milliseconds, how long large answers wait
-// for the destination's link. It is left out where they don't.
+// headerLinkWait is the header that reports to the entry node, in milliseconds, how long large
+// answers wait for the destination's link. It is omitted if they do not wait.
 const headerLinkWait = "Marlpass-Link-Wait"
 
 func (d *Destination) setLinkWait(h http.Header) {
@@ -16,11 +16,11 @@
 	}
 }
 
-// parseLinkWait returns zero for a header that is not there or says nothing.
+// parseLinkWait returns the reported wait, or zero if the header is missing or invalid.
 func parseLinkWait(h http.Header) time.Duration {
 	value := first(h, headerLinkWait)
 	if value == "" {
-		return 0 // most answers have none, and an error costs an allocation
+		return 0 // the header is usually absent, and an error costs an allocation
 	}
 	ms, err := strconv.ParseInt(value, 10, 32)
 	if err != nil || ms < 0 {
--- a/internal/proxy/meters.go
+++ b/internal/proxy/meters.go
@@ -21,7 +21,7 @@
 	buckets    = (maxPower - subBits + 1) * subBuckets
 )
 
-// Windows of the meters: the last minute in parts.
+// The meters cover the last minute, in windows of equal length.
 const (
 	windowCount  = 6
 	windowLength = 10 * time.Second
@@ -29,7 +29,7 @@
 
 // window holds the counts of one part of the last minute.
 type window struct {
-	index    atomic.Int64 // number of the part since the epoch
+	index    atomic.Int64 // number of the window since the epoch
 	answered atomic.Uint64
 	failed   atomic.Uint64
 	inTarget atomic.Uint64
@@ -38,10 +38,9 @@
 	refused  map[call.Reason]uint64
 }
 
-// ClassMeter counts the calls of one class at this node. A recording that
-// falls together with the change of a part may be counted in the wrong part or
-// be lost with it; the meters are for people and for sharing of rates, not for
-// accounting.
+// ClassMeter counts the calls of one class at this node. A recording at the moment when a window is
+// replaced may be counted in the wrong window or be lost. The meters are for display and for
+// sharing rates, not for accounting.
 type ClassMeter struct {
 	name    string
 	target  atomic.Pointer[config.Target]
@@ -52,7 +51,7 @@
 // Meters holds the meters of all classes.
 type Meters struct {
 	byClass sync.Map
-	// other counts refusals of calls that belong to no class.
+	// unmatched counts refusals of calls that belong to no class.
 	unmatched    totals
 	latencyParts partHistograms
 }
@@ -60,7 +59,7 @@
 // NewMeters returns empty meters.
 func NewMeters() *Meters { return new(Meters) }
 
-// Class returns the meter of t.
+// Class returns the meter of t's class.
 func (m *Meters) Class(t *config.Target) *ClassMeter {
 	v, ok := m.byClass.Load(t.Name)
 	if !ok {
@@ -73,7 +72,7 @@
 	return c
 }
 
-// Answered counts a call that was answered.
+// Answered records an answered call.
 func (c *ClassMeter) Answered(now time.Time, latency time.Duration, failed bool) {
 	w := c.window(now)
 	w.answered.Add(1)
@@ -88,7 +87,7 @@
 	}
 }
 
-// Refused counts a call that was not run.
+// Refused records a call that was not run.
 func (c *ClassMeter) Refused(now time.Time, reason call.Reason) {
 	c.totals.refuse(reason)
 	w := c.window(now)
@@ -105,8 +104,7 @@
 	return t == nil || t.AnswerWithin() == 0 || latency <= t.AnswerWithin()
 }
 
-// window returns the counts of the present part, emptied if they are of an
-// earlier minute.
+// window returns the current window, emptied if it is from an earlier minute.
 func (c *ClassMeter) window(now time.Time) *window {
 	index := now.UnixNano() / int64(windowLength)
 	w := &c.windows[index%windowCount]
@@ -128,7 +126,7 @@
 	w.refused = nil
 }
 
-// bucketOf returns the bucket of a latency.
+// bucketOf returns the index of the bucket for a latency.
 func bucketOf(d time.Duration) int {
 	us := uint64(max(d.Microseconds(), 0))
 	if us < subBuckets {
@@ -142,7 +140,7 @@
 	return (power-subBits+1)*subBuckets + int(sub)
 }
 
-// upperBound returns the largest latency of a bucket.
+// bucketUpperBound returns the largest latency of bucket i.
 func bucketUpperBound(i int) time.Duration {
 	if i < subBuckets {
 		return time.Duration(i) * time.Microsecond
@@ -152,22 +150,22 @@
 	return time.Duration((sub+1)<<(power-subBits)-1) * time.Microsecond
 }
 
-// ClassStats sum up the last minute of a class.
+// ClassStats sums up the last minute of a class.
 type ClassStats struct {
 	Class    string
-	Answered uint64 // with any status, those that failed included
-	Failed   uint64 // server errors, cut answers and unknown outcomes
-	InTarget uint64 // good answers within the target's time
+	Answered uint64 // with any status, including failed ones
+	Failed   uint64 // server errors, truncated answers and unknown outcomes
+	InTarget uint64 // good answers within the target latency
 	Refused  map[call.Reason]uint64
 	P50, P99 time.Duration
-	// AtPercentile is the latency at the percentile that the target names.
+	// AtPercentile is the latency at the target's percentile.
 	AtPercentile time.Duration
-	// Latency is the histogram behind them, without empty buckets.
+	// Latency is the histogram behind these values, without empty buckets.
 	Latency []LatencyCount
 }
 
-// LatencyCount counts the answers that took at most AtMost and longer than the
-// bound before it.
+// LatencyCount counts the answers that took at most AtMost, and longer than the bound of the bucket
+// before.
 type LatencyCount struct {
 	AtMost time.Duration
 	Calls  uint64
@@ -226,7 +224,7 @@
 	return out
 }
 
-// quantile returns the latency that the share q of the counts does not exceed.
+// quantile returns the latency that a share q of the calls does not exceed.
 func quantile(counts *[buckets]uint64, q float64) time.Duration {
 	var total uint64
 	for _, n := range counts {
--- a/internal/proxy/notrun.go
+++ b/internal/proxy/notrun.go
@@ -13,26 +13,26 @@
 	"github.com/marlpass/marlpass/internal/retry"
 )
 
-// This file alone says that a call was not run. A caller acts on that word: it
-// sends a booking again. If the word were ever wrong, the booking would run
-// twice. So a *call.Refusal is made here only, in one of four ways:
+// Only this file decides that a call was not run. A caller relies on that: it
+// sends a booking again. If the decision were ever wrong, the booking would run
+// twice. So a *call.Refusal is created here only, in one of four ways:
 //
-//   - refuse: this node turned the call away and never sent it on;
-//   - unsent: the connection for the attempt is proved to have carried no
-//     byte, and is closed for writing so that none can follow;
-//   - refusedByBackend: the backend server said so with this attempt's nonce;
-//   - refusedByNode: the destination node said so, in one of the ways above.
+//   - refuse: this node refused the call and never forwarded it;
+//   - refusalIfUnsent: the connection of the attempt provably carried no
+//     byte, and is barred from further writes;
+//   - refusedByBackend: the backend server reported it with this attempt's nonce;
+//   - refusedByNode: the destination node reported it, in one of the ways above.
 //
-// The interfaces of policy.go may return refusals of their own; they are asked
-// before the call is sent on.
+// The interfaces of policy.go may return refusals of their own; they are called
+// before the call is forwarded.
 
-// refuse returns the refusal of a call that this node has not sent on.
+// refuse returns the refusal of a call that this node has not forwarded.
 func refuse(reason call.Reason, retryAfter time.Duration, detail string) *call.Refusal {
 	return &call.Refusal{Reason: reason, RetryAfter: retryAfter, Detail: detail}
 }
 
-// unsent returns a refusal if it is certain that no byte of the attempt was or
-// will be written, and nil otherwise.
+// refusalIfUnsent returns a refusal if no byte of the attempt was or will be written, and nil
+// otherwise.
 func (a *attempt) refusalIfUnsent() *call.Refusal {
 	if !a.barConn() {
 		return nil
@@ -40,23 +40,22 @@
 	return &call.Refusal{Reason: call.ReasonUnreachable, RetryAfter: retryAfterUnreachable}
 }
 
-// refusedByBackend returns a refusal if the backend server repeats the nonce
-// of this attempt. A header copied from the answer to a deeper call carries
-// that call's nonce, and is not believed.
+// refusedByBackend returns a refusal if the backend server repeats the nonce of this attempt. A
+// header copied from the answer to a deeper call carries that call's nonce, and is ignored.
 func refusedByBackend(h http.Header, nonce string) *call.Refusal {
 	if nonce == "" || first(h, call.HeaderRefused) != nonce {
 		return nil
 	}
 	r := &call.Refusal{Reason: call.ReasonBackend, RetryAfter: parseRetryAfter(h)}
 	if first(h, call.HeaderNotRun) != "" || first(h, retry.HeaderFinal) != "" {
-		// The backend server refused because a call of its own was refused.
-		// That one was already tried again a level below.
+		// The backend server refused because a call of its own was refused,
+		// which was already retried one level down.
 		r.Detail = detailDeep
 	}
 	return r
 }
 
-// refusedByNode returns the refusal that another node marked, or nil.
+// refusedByNode returns the refusal reported by another node, or nil.
 func refusedByNode(h http.Header) *call.Refusal {
 	reason := first(h, call.HeaderNotRun)
 	if reason == "" {
@@ -70,16 +69,14 @@
 }
 
 const (
-	// headerComeBack tells, between nodes, in how many milliseconds the refusing
-	// node expects to have room. Retry-After has whole seconds, in which a queue
-	// drains several times over.
+	// headerComeBack is a header between nodes: in how many milliseconds the refusing node expects
+	// to have room. Retry-After has whole seconds, in which a queue drains several times over.
 	headerComeBack = "Marlpass-Come-Back"
-	// headerDetail says, between nodes, what the logs are to say of a refusal.
+	// headerDetail is a header between nodes with the detail of a refusal for the logs.
 	headerDetail = "Marlpass-Detail"
 )
 
-// parseComeBack returns when to come back; a node of an earlier version says it as
-// callers are told.
+// parseRetryAfterMS returns when to retry. Nodes of an earlier version send Retry-After only.
 func parseRetryAfterMS(h http.Header) time.Duration {
 	value := first(h, headerComeBack)
 	if value == "" {
@@ -92,7 +89,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// headerDeep marks, between nodes, a refusal that began in a deeper call.
+// headerDeep marks, between nodes, a refusal that came from a deeper call.
 const headerDeep = "Marlpass-Deep"
 
 const detailDeep = "a call further down was refused"
@@ -100,8 +97,7 @@
 const (
 	retryAfterUnreachable = time.Second
 	retryAfterDefault     = time.Second
-	// storeDownSpread keeps callers whose claims failed together from coming
-	// back together.
+	// storeDownJitter spreads the retries of callers whose claims failed together.
 	storeDownJitter = 4 * time.Second
 )
 
@@ -114,9 +110,9 @@
 	NotRun bool        `json:"not_run"`
 }
 
-// writeRefusal answers another node that the call was not run. It has no body and
-// nothing else that only people read: under overload a call may be refused by several
-// nodes, and with a problem document each refusal took 326 bytes.
+// writeNodeRefusal answers another node that the call was not run. The answer has no body and no
+// text for people: under overload several nodes may refuse the same call, and with a problem
+// document each refusal took 326 bytes.
 func writeNodeRefusal(w http.ResponseWriter, r *call.Refusal) {
 	h := w.Header()
 	h[call.HeaderNotRun] = []string{string(r.Reason)}
@@ -135,7 +131,8 @@
 	w.WriteHeader(status)
 }
 
-// writeRefused answers that the call was not run, as d says it.
+// writeCallerRefusal answers a caller that the call was not run, with the status and Retry-After of
+// dialect d.
 func writeCallerRefusal(w http.ResponseWriter, r *call.Refusal, d Dialect) {
 	h := w.Header()
 	h.Set(call.HeaderNotRun, string(r.Reason))
@@ -152,11 +149,11 @@
 	})
 }
 
-// headerUnknown marks, between nodes, the answer that a call may have run and
-// has no answer for its caller. Its value is an unknownKind.
+// headerUnknown marks, between nodes, a call that may have run and has no answer. Its value is an
+// unknownKind.
 const headerUnknown = "Marlpass-Unknown"
 
-// unknownKind says why a call that may have run has no answer.
+// unknownKind is the reason why a call that may have run has no answer.
 type unknownKind string
 
 const (
@@ -168,12 +165,12 @@
 	unknownBodyTooLarge unknownKind = "too-large"
 )
 
-// ofKey reports whether the kind tells of an earlier sending of the key.
+// isEarlierSending reports whether the kind concerns an earlier sending of the key.
 func isEarlierSending(kind unknownKind) bool {
 	return kind == unknownKeyOutcome || kind == unknownNotStored || kind == unknownStoreDown
 }
 
-// unknownError is what another node said of a call that may have run.
+// unknownError is the report of another node that a call may have run.
 type unknownError struct{ kind unknownKind }
 
 func (e *unknownError) Error() string {
@@ -232,11 +229,11 @@
 	h.Set("Content-Type", "application/problem+json")
 	h.Set("Cache-Control", "no-store")
 	w.WriteHeader(p.Status)
-	// An error here means that the caller has gone.
+	// An error here means that the caller has left.
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// statusOf returns the HTTP status that tells of a refusal.
+// statusOf returns the HTTP status of a refusal.
 func statusOf(r call.Reason) int {
 	switch r {
 	case call.ReasonNoRoute:
@@ -263,7 +260,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// retryAfterSeconds rounds up: a caller must not come back too early.
+// retryAfterSeconds rounds up, so that a caller does not retry too early.
 func retryAfterSeconds(d time.Duration) string {
 	if d <= 0 {
 		d = retryAfterDefault
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -12,17 +12,17 @@
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// passed is what was passed on of an answer.
+// relayResult describes how far an answer was relayed.
 type relayResult struct {
 	bytes      int64
-	partial    bool // the answer did not come whole
-	readerGone bool // the reader did not take it
+	partial    bool // the answer was truncated
+	readerGone bool // the reader left
 }
 
-// relay passes an answer on. When it returns with partial set, the caller
-// must abort the connection, so that a cut answer never looks like a whole one.
-// keep, which may be nil, sees every part of the body. After the reader has gone
-// the body is read on while keep says that it is wanted.
+// relay relays an answer. When it returns with partial set, the caller must abort the connection,
+// so that a truncated answer never looks complete. capture, which may be nil, receives every part
+// of the body. After the reader has left, relay continues to read the body while capture returns
+// true.
 func relay(w http.ResponseWriter, resp *http.Response, capture func([]byte) (wanted bool)) relayResult {
 	h := w.Header()
 	for name, values := range resp.Header {
@@ -37,9 +37,8 @@
 	return p
 }
 
-// relayBody copies the body, and flushes whatever came unless it was the end
-// of it: a caller of a stream sees each part when the backend server sent it,
-// and a short answer leaves in one write.
+// relayBody copies the body, and flushes after each part except the last: a caller of a stream gets
+// each part when the backend server sends it, and a short answer leaves in one write.
 func relayBody(w http.ResponseWriter, resp *http.Response, capture func([]byte) bool) relayResult {
 	flusher, _ := w.(http.Flusher)
 	if resp.ContentLength < 0 && flusher != nil {
@@ -77,13 +76,13 @@
 	}
 }
 
-// callerLeft reports whether the call of resp was cancelled from above, so that
-// an answer that stops says nothing of whoever gave it.
+// callCanceled reports whether the call of resp was canceled by the previous hop, so that a
+// truncated answer is no evidence against its sender.
 func callCanceled(resp *http.Response) bool {
 	return resp.Request != nil && resp.Request.Context().Err() != nil
 }
 
-// bodyless reports whether the length of resp tells of a body that is not sent.
+// hasNoBody reports whether resp has no body despite its Content-Length.
 func hasNoBody(resp *http.Response) bool {
 	return resp.Request != nil && resp.Request.Method == http.MethodHead ||
 		resp.StatusCode == http.StatusNotModified
@@ -102,8 +101,7 @@
 	h["Trailer"] = []string{strings.Join(names, trailerSep)}
 }
 
-// copyTrailers sets the trailers that came. Those announced are taken by their
-// name, others need the prefix.
+// copyTrailers sets the received trailers. Trailers that were not announced need a prefix.
 func copyTrailers(h http.Header, trailer http.Header) {
 	if len(trailer) == 0 {
 		return
--- a/internal/proxy/socket_linux.go
+++ b/internal/proxy/socket_linux.go
@@ -7,10 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// boundUnacked lets the kernel break a connection whose written bytes nobody
-// acknowledges. Something between the two ends may have forgotten the
-// connection: writes succeed, answers never come, and without this bound the
-// kernel would go on resending for a quarter of an hour.
+// boundUnacked makes the kernel break a connection whose written bytes are not acknowledged in
+// time. A middlebox may have dropped the connection's state: writes succeed, answers never arrive,
+// and without this bound the kernel would retransmit for a quarter of an hour.
 func (p Probing) boundUnacked(_, _ string, c syscall.RawConn) error {
 	var set error
 	err := c.Control(func(fd uintptr) {
--- a/internal/proxy/spool.go
+++ b/internal/proxy/spool.go
@@ -8,14 +8,14 @@
 	"sync/atomic"
 )
 
-// maxSpooled bounds one answer that is read whole before it is passed on.
+// maxSpooledBytes bounds an answer that is buffered before it is relayed.
 const maxSpooledBytes = 1 << 20
 
-// errBroken means that an answer broke off before it was passed on.
-var errAnswerTruncated = errors.New("proxy: the answer broke off")
+// errAnswerTruncated means that an answer was truncated before it was relayed.
+var errAnswerTruncated = errors.New("proxy: the answer was truncated")
 
-// Spool bounds the memory of the answers that a node has read and not yet passed
-// on. A nil Spool reads none.
+// Spool bounds the memory of answers that are buffered by this node and not yet relayed. A nil
+// Spool buffers none.
 type Spool struct {
 	limit int64
 	used  atomic.Int64
@@ -24,14 +24,13 @@
 // NewSpool returns a spool of up to limit bytes.
 func NewSpool(limit int64) *Spool { return &Spool{limit: limit} }
 
-// read reads an answer of known length whole, and reports whether that was tried.
+// read buffers a whole answer of known length, and reports whether it tried to.
 //
-// It buys two things. A backend server has its slot free again as soon as its
-// answer is read, and not when the last byte has gone over a slow link. And an
-// answer that breaks off has not begun for its caller: a call that may run twice
-// can still be sent to another endpoint.
+// Buffering has two benefits. The slot of the backend server is released as soon as its answer is
+// read, and not when the last byte has gone over a slow link. And a truncated answer has not begun
+// for the caller, so that an idempotent call can still be retried at another endpoint.
 //
-// An answer without a length is passed on as it comes, since it may be endless.
+// An answer of unknown length is relayed while it arrives, since it may be endless.
 func (s *Spool) read(resp *http.Response) (tried bool, err error) {
 	n := resp.ContentLength
 	if s == nil || n <= 0 || n > maxSpooledBytes || hasNoBody(resp) {
@@ -52,14 +51,14 @@
 	return true, nil
 }
 
-// spooled is the body of an answer that was read whole.
+// spooledBody is the body of a buffered answer.
 type spooledBody struct {
 	*bytes.Reader
 	spool *Spool
 	n     int64
 }
 
-// Close gives the memory back.
+// Close returns the memory to the spool.
 func (b *spooledBody) Close() error {
 	b.spool.used.Add(-b.n)
 	b.n = 0
--- a/internal/proxy/totals.go
+++ b/internal/proxy/totals.go
@@ -9,14 +9,14 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// Powers of two, in microseconds, that bound the buckets of a ClassTotals.
+// Powers of two, in microseconds, that bound the buckets of a histogram.
 const (
 	firstPower = 8  // 256 microseconds
 	lastPower  = 25 // 33.6 seconds
 )
 
-// totals count the calls of a class since the start of the node. A recording is
-// a few atomic additions and takes no lock.
+// totals counts the calls of a class since the start of the node. A recording is a few atomic
+// additions and takes no lock.
 type totals struct {
 	failed    atomic.Uint64
 	inTarget  atomic.Uint64
@@ -24,10 +24,10 @@
 	refused   sync.Map // call.Reason to *atomic.Uint64
 }
 
-// histogram counts times since the start of the node.
+// histogram counts durations since the start of the node.
 type histogram struct {
-	micros atomic.Uint64                             // the sum
-	counts [lastPower - firstPower + 2]atomic.Uint64 // the last has no bound
+	micros atomic.Uint64                             // sum of all durations
+	counts [lastPower - firstPower + 2]atomic.Uint64 // the last bucket is unbounded
 }
 
 func (h *histogram) add(d time.Duration) {
@@ -59,8 +59,7 @@
 	}
 }
 
-// powerOf returns the index of the bucket for a latency: the first whose bound
-// is not below it.
+// histogramBucket returns the index of the first bucket whose bound is not below us microseconds.
 func histogramBucket(us uint64) int {
 	for p := firstPower; p <= lastPower; p++ {
 		if us <= 1<<p {
@@ -78,30 +77,30 @@
 	n.(*atomic.Uint64).Add(1)
 }
 
-// Bucket is how many calls were answered within a time.
+// Bucket is the cumulative number of calls with a duration of at most UpperBound.
 type Bucket struct {
-	UpperBound float64 // seconds; the last is infinite
+	UpperBound float64 // seconds; infinite in the last bucket
 	Calls      uint64
 }
 
-// Histogram counts times at this node since its start.
+// Histogram counts durations at this node since its start.
 type Histogram struct {
 	Count   uint64
-	Seconds float64  // the sum of all
-	Buckets []Bucket // each includes those before it
+	Seconds float64  // sum of all durations
+	Buckets []Bucket // cumulative
 }
 
-// ClassTotals count the calls of a class at this node since its start.
+// ClassTotals counts the calls of a class at this node since its start.
 type ClassTotals struct {
 	Class    string
-	Answered Histogram // with any status, those that failed included
-	Failed   uint64    // server errors, cut answers and unknown outcomes
-	InTarget uint64    // good answers within the target's time
+	Answered Histogram // with any status, including failed ones
+	Failed   uint64    // server errors, truncated answers and unknown outcomes
+	InTarget uint64    // good answers within the target latency
 	Refused  map[call.Reason]uint64
 }
 
-// Totals returns the counts of every class that this node has seen, and under
-// an empty name the refusals of calls that belong to none.
+// Totals returns the counts of every class that this node has seen, and under an empty name the
+// refusals of calls that belong to no class.
 func (m *Meters) Totals() []ClassTotals {
 	var out []ClassTotals
 	m.byClass.Range(func(_, v any) bool {
--- a/internal/proxy/tracing.go
+++ b/internal/proxy/tracing.go
@@ -11,15 +11,15 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// Tracer makes a span for each hop. A nil Tracer makes none, costs nothing,
-// and leaves the caller's W3C headers as they are, so that a trace of the
-// callers and the backend servers holds together.
+// Tracer creates a span for each hop. A nil Tracer creates none, costs nothing, and leaves the
+// caller's W3C trace headers unchanged, so that traces of the callers and the backend servers stay
+// connected.
 type Tracer struct {
 	tracer trace.Tracer
 	w3c    propagation.TraceContext
 }
 
-// NewTracer returns a Tracer, or nil if p records nothing.
+// NewTracer returns a Tracer, or nil if p is nil or a no-op provider.
 func NewTracer(p trace.TracerProvider) *Tracer {
 	if p == nil {
 		return nil
@@ -30,12 +30,12 @@
 	return &Tracer{tracer: p.Tracer("marlpass/proxy")}
 }
 
-// span is the span of one hop, or nothing.
+// span is the span of one hop; the zero value records nothing.
 type span struct{ s trace.Span }
 
-// startRemote starts a span under that of whoever sent r, and writes it to r's
-// header for the next hop. An unsampled span is passed on too: the decision
-// not to sample must reach the others.
+// startRemote starts a span as a child of the span in r's header, and writes it to that header for
+// the next hop. An unsampled span is propagated too, as the next hops must follow the sampling
+// decision.
 func (t *Tracer) startRemote(r *http.Request, name, class string) (context.Context, span) {
 	ctx := r.Context()
 	if t == nil {
@@ -48,7 +48,7 @@
 	return ctx, span{s}
 }
 
-// outcome notes how the hop ended.
+// outcome records how the hop ended.
 func (s span) outcome(a *answer) {
 	if s.s == nil || !s.s.IsRecording() {
 		return
