--- a/internal/proxy/again_test.go
+++ b/internal/proxy/again_test.go
@@ -28,9 +28,9 @@
 func TestLoneFullEndpointIsAskedOnce(t *testing.T) {
 	for _, lone := range []bool{true, false} {
 		m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-		m.entry.Retrier = policied{retry.New(retry.Options{})}
-		m.entry.Pickers = anyEndpoint{m.picks}
-		m.picks.next.Store(^uint64(0))
+		m.entry.Retrier = policyRetrier{retry.New(retry.Options{})}
+		m.entry.Pickers = anyEndpoint{m.picker}
+		m.picker.next.Store(^uint64(0))
 		gate := new(full)
 		m.dest[0].Gates = gate
 		if lone {
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -12,12 +12,12 @@
 )
 
 // deadlines counts the read deadlines that are set on its connection.
-type deadlines struct {
+type deadlineCounter struct {
 	*httptest.ResponseRecorder
 	set int
 }
 
-func (d *deadlines) SetReadDeadline(time.Time) error {
+func (d *deadlineCounter) SetReadDeadline(time.Time) error {
 	d.set++
 	return nil
 }
@@ -27,10 +27,10 @@
 // closes the connection onwards, on which the rest of the photo was to go, and
 // with it ended the reading from the caller: the launch was cut off while it
 // ran, and nobody could tell its caller whether it had.
-func TestCloseOnwardsLeavesTheCallersNextCallAlone(t *testing.T) {
+func TestUpstreamCloseSparesCallersNextCall(t *testing.T) {
 	for name, over := range map[string]bool{"in the call": false, "after it": true} {
 		t.Run(name, func(t *testing.T) {
-			w := &deadlines{ResponseRecorder: httptest.NewRecorder()}
+			w := &deadlineCounter{ResponseRecorder: httptest.NewRecorder()}
 			r := httptest.NewRequest("POST", "/", strings.NewReader("photo"))
 			b := body{length: 5, stream: newStreamBody(w, r, 0)}
 			b.stream.Read(make([]byte, 1))
@@ -53,8 +53,8 @@
 // one. Only then does the transport close the connection to the first, as the refusal said
 // that it ends. That ended the reading from the caller, half of the upload was lost under
 // way, and the caller was told "may have run" of a call that nothing was wrong with.
-func TestRefusedConnectionLeavesTheNextAttemptAlone(t *testing.T) {
-	w := &deadlines{ResponseRecorder: httptest.NewRecorder()}
+func TestRefusedConnectionCloseSparesNextAttempt(t *testing.T) {
+	w := &deadlineCounter{ResponseRecorder: httptest.NewRecorder()}
 	r := httptest.NewRequest("POST", "/", strings.NewReader("photo"))
 	b := newStreamBody(w, r, 0)
 	refused, next := &conn{Conn: new(sink)}, &conn{Conn: new(sink)}
@@ -72,15 +72,15 @@
 }
 
 // cutReader fails as net/http does whose read deadline has passed.
-type cutReader struct{}
+type timedOutReader struct{}
 
-func (cutReader) Read([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
+func (timedOutReader) Read([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 
 // An endpoint dies under an upload. The node ends the reading from the caller by a deadline
 // in the past, and its log said "i/o timeout": it looked as if the caller had been slow.
-func TestCutBodyNamesTheConnection(t *testing.T) {
-	r := httptest.NewRequest("POST", "/", cutReader{})
-	b := newStreamBody(&deadlines{ResponseRecorder: httptest.NewRecorder()}, r, 0)
+func TestAbortedBodyErrorNamesConnection(t *testing.T) {
+	r := httptest.NewRequest("POST", "/", timedOutReader{})
+	b := newStreamBody(&deadlineCounter{ResponseRecorder: httptest.NewRecorder()}, r, 0)
 	c := &conn{Conn: new(sink)}
 	c.begin(b)
 	b.readStarted.Store(true)
@@ -96,7 +96,7 @@
 // answers begin before the body has ended. The next booking met the break, and
 // its caller could not know whether it ran. The answer must say that the
 // connection ends, and only then.
-func TestAnswerBeforeTheEndOfTheBodyEndsTheConnection(t *testing.T) {
+func TestEarlyAnswerClosesConnection(t *testing.T) {
 	m, _ := newKeyedMesh(t, func(_ http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
 	for name, c := range map[string]struct {
 		length int64
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -9,7 +9,7 @@
 
 // A VM is stopped on plan while a long download runs. The download must end
 // whole, and calls that come meanwhile go elsewhere.
-func TestDrainCutsNothing(t *testing.T) {
+func TestDrainCompletesRunningCalls(t *testing.T) {
 	begun, finish := make(chan struct{}), make(chan struct{})
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/long" {
--- a/internal/proxy/entry_test.go
+++ b/internal/proxy/entry_test.go
@@ -50,7 +50,7 @@
 	target := bookings()
 	target.Audience = config.AudienceInternal
 	m := newMesh(t, target, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	resp, err := http.Get(m.inside.URL + "/feed")
+	resp, err := http.Get(m.internal.URL + "/feed")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -20,7 +20,7 @@
 // A trader pulls an archive and the backend server dies half way. Had the node
 // ended its answer as usual, the trader would take half an archive for the
 // whole: the node must break the connection instead.
-func TestCutAnswerNeverEndsCleanly(t *testing.T) {
+func TestTruncatedAnswerAbortsConnection(t *testing.T) {
 	for _, length := range []string{"100000", ""} {
 		t.Run("length "+length, func(t *testing.T) {
 			m := newMesh(t, lookups(), func(w http.ResponseWriter, _ *http.Request) {
@@ -42,7 +42,7 @@
 // A clerk's connection breaks in the middle of an upload. Had the node ended
 // the request to the backend server as usual, half a submission would be
 // stored as a whole one.
-func TestCutRequestNeverEndsCleanly(t *testing.T) {
+func TestTruncatedRequestAbortsUpstream(t *testing.T) {
 	ended := make(chan error, 1)
 	m := newMesh(t, bookings(), func(_ http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
@@ -62,17 +62,17 @@
 
 // flaky is a server that answers the first request on each connection and
 // closes the connection on the second one, having read it.
-type flaky struct {
+type closingServer struct {
 	net.Listener
 	requests atomic.Int64
 }
 
-func newFlaky(t *testing.T) *flaky {
+func newClosingServer(t *testing.T) *closingServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &flaky{Listener: l}
+	f := &closingServer{Listener: l}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -86,7 +86,7 @@
 	return f
 }
 
-func (f *flaky) serve(c net.Conn) {
+func (f *closingServer) serve(c net.Conn) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for n := 0; ; n++ {
@@ -116,10 +116,10 @@
 		{"DELETE", []string{"X-Idempotency-Key", "k"}},
 	} {
 		t.Run(tt.method, func(t *testing.T) {
-			f := newFlaky(t)
+			f := newClosingServer(t)
 			m := newMesh(t, bookings(), nil)
 			for _, d := range m.dest {
-				d.Backends = held{{Service: testService, Addr: f.Addr().String(), Instance: "a", Slots: 8, State: membership.BackendReady}}
+				d.Backends = fixedBackends{{Service: testService, Addr: f.Addr().String(), Instance: "a", Slots: 8, State: membership.BackendReady}}
 			}
 			m.useOnly(0)
 			if _, _, err := m.call("GET", "/", ""); err != nil {
@@ -142,7 +142,7 @@
 // The trap that TestTransportCannotReplay guards against is still there: if
 // net/http ever stops replaying, the guard can go.
 func TestPlainTransportReplays(t *testing.T) {
-	f := newFlaky(t)
+	f := newClosingServer(t)
 	c := &http.Client{Transport: &http.Transport{}}
 	for _, key := range []string{"", "k"} {
 		req, _ := http.NewRequest("POST", "http://"+f.Addr().String(), nil)
@@ -164,7 +164,7 @@
 // A backend server runs a booking, and on its way calls another service, which
 // refuses. It answers 503 and copies the headers of that refusal. A node that
 // believed them would run the booking again.
-func TestCopiedRefusalIsNotBelieved(t *testing.T) {
+func TestCopiedRefusalIsIgnored(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(call.HeaderNotRun, string(call.ReasonOverloaded))
 		w.Header().Set(call.HeaderRefused, "1234567890abcdef")
@@ -206,7 +206,7 @@
 // the refusal the transport closes the connection to the first endpoint, and that ended the
 // reading from the caller. The lines of 128 failures in 2,000 runs all told of the attempt
 // behind a refusal, 14 of them with "i/o timeout", which is the deadline that ends the reading.
-func TestRefusedUploadGoesElsewhere(t *testing.T) {
+func TestRefusedUploadIsRetriedElsewhere(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, r *http.Request) {
 		n, _ := io.Copy(io.Discard, r.Body)
 		io.WriteString(w, strconv.FormatInt(n, 10)+r.Header.Get("Expect"))
@@ -223,9 +223,9 @@
 // An idempotent lookup breaks at one endpoint, is sent again, and the next
 // endpoint refuses it. The refusal is true of the second attempt only: the
 // first may have run, so the caller must not be told "not run".
-func TestRefusalAfterLostAttemptIsNotNotRun(t *testing.T) {
+func TestRefusalAfterLostAttemptIsUnknown(t *testing.T) {
 	m := newMesh(t, lookups(), func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	m.picks.next.Store(^uint64(0)) // the next pick is dest[0]
+	m.picker.next.Store(^uint64(0)) // the next pick is dest[0]
 	m.dest[1].Drain()
 	resp, _, err := m.call("GET", "/", "")
 	if err != nil {
@@ -303,7 +303,7 @@
 // is gone. That node must not hand it to whatever it holds now.
 func TestServiceNotHeldIsRefused(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	m.dest[0].Backends = held{{Service: "surveys", Addr: "127.0.0.1:1", State: membership.BackendReady}}
+	m.dest[0].Backends = fixedBackends{{Service: "surveys", Addr: "127.0.0.1:1", State: membership.BackendReady}}
 	rec := httptest.NewRecorder()
 	r := httptest.NewRequest("POST", "/book", nil)
 	r.Header.Set(call.HeaderHop, hop{left: time.Second, class: "bookings", service: testService}.String())
@@ -346,7 +346,7 @@
 
 // As above, but the answer has begun when the backend server dies. The caller
 // must see it break off although it has not sent all of its upload.
-func TestBrokenStreamIsCut(t *testing.T) {
+func TestBrokenStreamIsAborted(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, r *http.Request) {
 		http.NewResponseController(w).EnableFullDuplex()
 		r.Body.Read(make([]byte, 1))
--- a/internal/proxy/full_test.go
+++ b/internal/proxy/full_test.go
@@ -9,7 +9,7 @@
 // A backend server refuses half of its calls at random while three of its six
 // slots are free. Taken for full, it had its limit cut with every refusal, down to
 // one call at a time, and most callers were refused by its own node.
-func TestOnlyAFullServerLowersItsLimit(t *testing.T) {
+func TestRefusedAtCapacity(t *testing.T) {
 	refused := &call.Refusal{Reason: call.ReasonBackend}
 	for _, c := range []struct {
 		name string
--- a/internal/proxy/key_test.go
+++ b/internal/proxy/key_test.go
@@ -18,11 +18,13 @@
 
 // keyed is a program with a single class and one workspace.
 type keyed struct {
-	one
+	singleClass
 	keys *config.Keyring
 }
 
-func (k keyed) Program() *Program { return &Program{Matcher: k.one, Targets: k.one, Keys: k.keys} }
+func (k keyed) Program() *Program {
+	return &Program{Matcher: k.singleClass, Targets: k.singleClass, Keys: k.keys}
+}
 
 func keyring(t *testing.T) *config.Keyring {
 	t.Helper()
@@ -42,7 +44,7 @@
 	m.useOnly(0)
 	seen := make(gateOf, 2)
 	m.dest[0].Gates = seen
-	m.dest[0].Programs = keyed{one{bookings()}, keyring(t)}
+	m.dest[0].Programs = keyed{singleClass{bookings()}, keyring(t)}
 	m.entry.Programs = m.dest[0].Programs
 	m.entry.Retrier = RetryUpTo(1)
 	if _, _, err := m.call("POST", "/launch", "x", headerAuthorization, "Bearer "+keyOfHarbour); err != nil {
@@ -98,7 +100,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var got http.Header
 			m := newMesh(t, tt.target, func(_ http.ResponseWriter, r *http.Request) { got = r.Header })
-			m.entry.Programs = keyed{one{tt.target}, keyring(t)}
+			m.entry.Programs = keyed{singleClass{tt.target}, keyring(t)}
 			resp, _, err := m.call("POST", "/launch", "x", headerAuthorization, tt.given, headerWorkspace, "forged")
 			if err != nil || resp.StatusCode != tt.status {
 				t.Fatalf("%v %v", resp, err)
@@ -138,7 +140,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) {})
-			m.entry.Programs = keyed{one{bookings()}, keyring(t)}
+			m.entry.Programs = keyed{singleClass{bookings()}, keyring(t)}
 			m.entry.Workspaces = tt.quotas
 			resp, _, err := m.call("POST", "/launch", "x", headerAuthorization, "Bearer "+keyOfHarbour)
 			if err != nil || resp.StatusCode != tt.status || resp.Header.Get(call.HeaderNotRun) != string(tt.reason) {
@@ -154,14 +156,14 @@
 // Guards against a quota that is used up by calls that no backend server ran.
 func TestRefusedCallIsGivenBack(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
-	m.entry.Programs = keyed{one{bookings()}, keyring(t)}
+	m.entry.Programs = keyed{singleClass{bookings()}, keyring(t)}
 	q := new(quotas)
 	m.entry.Workspaces = q
 	key := []string{headerAuthorization, "Bearer " + keyOfHarbour}
 	if resp, _, err := m.call("POST", "/launch", "x", key...); err != nil || resp.StatusCode != http.StatusOK || q.counted != 1 {
 		t.Fatalf("%v %v, counted %d", resp, err, q.counted)
 	}
-	m.picks.Set(nil)
+	m.picker.Set(nil)
 	if resp, _, err := m.call("POST", "/launch", "x", key...); err != nil || resp.StatusCode != http.StatusServiceUnavailable || q.counted != 1 {
 		t.Fatalf("%v %v, counted %d", resp, err, q.counted)
 	}
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -16,18 +16,18 @@
 )
 
 // memoryKeeper keeps claims in memory.
-type memoryKeeper struct {
+type memoryClaims struct {
 	mu     sync.Mutex
 	stored map[string]*Stored // nil while claimed
 	events []string
 	ended  chan struct{}
 }
 
-func newMemoryKeeper() *memoryKeeper {
-	return &memoryKeeper{stored: map[string]*Stored{}, ended: make(chan struct{}, 16)}
+func newMemoryClaims() *memoryClaims {
+	return &memoryClaims{stored: map[string]*Stored{}, ended: make(chan struct{}, 16)}
 }
 
-func (k *memoryKeeper) Begin(_ context.Context, c KeyedCall) (Claim, *Stored, error) {
+func (k *memoryClaims) Begin(_ context.Context, c KeyedCall) (Claim, *Stored, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s, claimed := k.stored[c.Key]
@@ -42,7 +42,7 @@
 }
 
 type memoryClaim struct {
-	k   *memoryKeeper
+	k   *memoryClaims
 	key string
 }
 
@@ -64,9 +64,9 @@
 func (c *memoryClaim) Abandon(context.Context)            { c.end("abandon", nil) }
 func (c *memoryClaim) Lost(context.Context)               { c.end("lost", nil) }
 
-func newKeyedMesh(t *testing.T, h http.HandlerFunc) (*mesh, *memoryKeeper) {
+func newKeyedMesh(t *testing.T, h http.HandlerFunc) (*mesh, *memoryClaims) {
 	m := newMesh(t, bookings(), h)
-	k := newMemoryKeeper()
+	k := newMemoryClaims()
 	for _, d := range m.dest {
 		d.Claims = k
 	}
@@ -108,7 +108,7 @@
 // The backend server dies while it runs a submission. Nobody knows whether it
 // took effect: the claim stands, and a resend is told "unknown", not run again
 // and not "not run".
-func TestKeyedCallThatIsLostStaysUnknown(t *testing.T) {
+func TestLostKeyedCallStaysUnknown(t *testing.T) {
 	m, k := newKeyedMesh(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	for i, want := range []int{http.StatusBadGateway, http.StatusConflict} {
 		resp, _, err := m.call("POST", "/submit", "price", "Idempotency-Key", "k1")
@@ -126,7 +126,7 @@
 
 // The answer to a submission was larger than what is kept. A resend must not
 // get the head of that answer as if it were the whole.
-func TestKeyedAnswerThatIsTooLargeIsNotCut(t *testing.T) {
+func TestTooLargeKeyedAnswerIsNotTruncated(t *testing.T) {
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, strings.Repeat("x", maxStoredBody+1))
 	})
@@ -146,7 +146,7 @@
 
 // A backend server refuses a keyed call. The claim is given up, so that the
 // next attempt, at another node, can take it.
-func TestKeyedCallThatIsRefusedIsAbandoned(t *testing.T) {
+func TestRefusedKeyedCallIsAbandoned(t *testing.T) {
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(call.HeaderRefused, r.Header.Get(call.HeaderAttempt))
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -164,11 +164,11 @@
 
 // The answer to a keyed call is kept for its resends, but a key says nothing
 // for a class that may run twice anyway.
-func TestKeyOfIdempotentClassIsPassedOn(t *testing.T) {
+func TestKeyOfIdempotentClassIsForwarded(t *testing.T) {
 	m := newMesh(t, lookups(), func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, r.Header.Get("Idempotency-Key"))
 	})
-	k := newMemoryKeeper()
+	k := newMemoryClaims()
 	m.dest[0].Claims, m.dest[1].Claims = k, k
 	_, body, err := m.call("POST", "/", "x", "Idempotency-Key", "k1")
 	if err != nil || body != "k1" || len(k.stored) != 0 {
@@ -191,24 +191,24 @@
 }
 
 // downKeeper is a keeper whose platform cannot be reached once down is set.
-type downKeeper struct {
-	*memoryKeeper
+type unavailableClaims struct {
+	*memoryClaims
 	down bool
 }
 
-func (k *downKeeper) Begin(ctx context.Context, c KeyedCall) (Claim, *Stored, error) {
+func (k *unavailableClaims) Begin(ctx context.Context, c KeyedCall) (Claim, *Stored, error) {
 	if k.down {
 		return nil, nil, &call.Refusal{Reason: call.ReasonStoreDown, Detail: "no claim"}
 	}
-	return k.memoryKeeper.Begin(ctx, c)
+	return k.memoryClaims.Begin(ctx, c)
 }
 
 // A launch charge runs and its answer is lost. Its caller sends it again, and
 // meanwhile the platform went down. No node can tell whether the key ran. The
 // caller was told "not run", and charged the family anew.
-func TestResendWhileThePlatformIsDownIsNotCalledNotRun(t *testing.T) {
+func TestResendDuringPlatformOutageIsUnknown(t *testing.T) {
 	m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	k := &downKeeper{memoryKeeper: newMemoryKeeper()}
+	k := &unavailableClaims{memoryClaims: newMemoryClaims()}
 	m.dest[0].Claims, m.dest[1].Claims = k, k
 	m.call("POST", "/charge", "x", "Idempotency-Key", "k1")
 	<-k.ended
@@ -228,7 +228,7 @@
 // Many callers upload at once, and a node has no memory left to keep another
 // body. An owner's booking with a key and a short body was then answered 400,
 // mend it, and was lost; it has to be told that there is no room now.
-func TestKeyedCallBesideManyUploads(t *testing.T) {
+func TestKeyedCallWithExhaustedBodyBudgetIsOverloaded(t *testing.T) {
 	m, _ := newKeyedMesh(t, func(http.ResponseWriter, *http.Request) {})
 	for _, d := range m.dest {
 		if !d.bodies.reserve(maxBufferedTotal) {
@@ -244,7 +244,7 @@
 // A backend server answers a submission with a status that HTTP does not have,
 // and net/http panics when it is passed on. The caller got no answer, yet "no
 // answer" was recorded as the whole one, and every resend met the same panic.
-func TestAnswerThatCannotBePassedOnIsLost(t *testing.T) {
+func TestInvalidStatusIsRecordedAsLost(t *testing.T) {
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, _ *http.Request) {
 		c, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -263,13 +263,13 @@
 }
 
 // fullOnce is a gate that has no room for the first call of all that share all.
-type fullOnce struct {
+type overloadedOnceGate struct {
 	FixedLimit
 	all   *atomic.Int64
 	calls atomic.Int64
 }
 
-func (g *fullOnce) Acquire(ctx context.Context, b Backend, t *config.Target, times limit.AcquireOptions) (Permit, error) {
+func (g *overloadedOnceGate) Acquire(ctx context.Context, b Backend, t *config.Target, times limit.AcquireOptions) (Permit, error) {
 	g.calls.Add(1)
 	if g.all.Add(1) == 1 {
 		return nil, &call.Refusal{Reason: call.ReasonOverloaded}
@@ -281,12 +281,12 @@
 // key names. That node had no room for a moment, so the booking was sent on and
 // ran beside another. Its answer was lost, the resend went to the node that the
 // key names, which knew nothing of the key, and the booking ran a second time.
-func TestGuardedCallStaysWhereItsKeyLeads(t *testing.T) {
+func TestLocallyGuardedCallStaysAtOneNode(t *testing.T) {
 	target := bookings()
 	target.OnStoreDown = config.OnStoreDownLocalGuard
 	m := newMesh(t, target, func(http.ResponseWriter, *http.Request) {})
 	var all atomic.Int64
-	gates := [2]*fullOnce{{all: &all}, {all: &all}}
+	gates := [2]*overloadedOnceGate{{all: &all}, {all: &all}}
 	for i, d := range m.dest {
 		d.Gates = gates[i]
 	}
@@ -310,7 +310,7 @@
 // endless stream, and leaves. The call ran on for its resends, for as long as the
 // backend server sent: it held its slot, and no planned stop could end. It must
 // end at its deadline.
-func TestEndlessAnswerEndsWithItsDeadline(t *testing.T) {
+func TestEndlessAnswerEndsAtDeadline(t *testing.T) {
 	var over atomic.Bool
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil && !over.Load() {
--- a/internal/proxy/late_refusal_test.go
+++ b/internal/proxy/late_refusal_test.go
@@ -15,9 +15,9 @@
 )
 
 // refusesLate refuses every call after a while in its queue.
-type refusesLate struct{ after time.Duration }
+type lateRefusalGate struct{ after time.Duration }
 
-func (g refusesLate) Acquire(ctx context.Context, _ Backend, _ *config.Target, _ limit.AcquireOptions) (Permit, error) {
+func (g lateRefusalGate) Acquire(ctx context.Context, _ Backend, _ *config.Target, _ limit.AcquireOptions) (Permit, error) {
 	select {
 	case <-time.After(g.after):
 	case <-ctx.Done():
@@ -30,13 +30,13 @@
 // the body unasked: it could not be sent to the next endpoint any more, and where
 // the refusal was lost with the connection, which had unread bytes, the caller was
 // told "may have run" of a booking that no backend server had seen.
-func TestUploadRefusedLateGoesElsewhere(t *testing.T) {
+func TestLateRefusedUploadIsRetriedElsewhere(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, r *http.Request) {
 		n, _ := io.Copy(io.Discard, r.Body)
 		io.WriteString(w, strconv.FormatInt(n, 10))
 	})
-	m.dest[0].Gates = refusesLate{after: 1200 * time.Millisecond}
-	m.picks.next.Store(^uint64(0)) // the next pick is dest[0]
+	m.dest[0].Gates = lateRefusalGate{after: 1200 * time.Millisecond}
+	m.picker.next.Store(^uint64(0)) // the next pick is dest[0]
 	_, body, err := m.call("POST", "/photos", strings.Repeat("x", 4*maxBufferedBody))
 	if err != nil || body != strconv.Itoa(4*maxBufferedBody) {
 		t.Fatalf("got %q %v", body, err)
--- a/internal/proxy/link_room_test.go
+++ b/internal/proxy/link_room_test.go
@@ -8,7 +8,7 @@
 
 // Guards against a download that counts a busy link as an attempt, and so is refused after two
 // of them while other VMs have room.
-func TestLookGoesOnWhereTheLinkIsFull(t *testing.T) {
+func TestSearchContinuesAfterLinkFull(t *testing.T) {
 	full := &answer{refusal: &call.Refusal{Reason: call.ReasonLinkFull}}
 	for look, want := range map[Look]bool{LookNear: true, LookFar: true, LookNot: false} {
 		s := search{look: look}
--- a/internal/proxy/look_test.go
+++ b/internal/proxy/look_test.go
@@ -46,7 +46,7 @@
 		retried = r.Header["Marlpass-Retried"]
 		io.WriteString(w, "ok")
 	})
-	m.entry.Pickers = lookingPicks{m.picks}
+	m.entry.Pickers = lookingPicks{m.picker}
 	m.entry.Retrier = RetryUpTo(1)
 	full := new(fullGate)
 	m.dest[0].Gates = full
@@ -69,7 +69,7 @@
 // they find so and look again.
 func TestCallsStopLookingWhereAllIsFull(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	m.entry.Pickers = lookingPicks{m.picks}
+	m.entry.Pickers = lookingPicks{m.picker}
 	full := new(fullGate)
 	m.dest[0].Gates, m.dest[1].Gates = full, full
 	free := m.entry.free.of(testService)
@@ -106,7 +106,7 @@
 // would write one for each endpoint. It must not look.
 func TestKeyedCallDoesNotLook(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	m.entry.Pickers = lookingPicks{m.picks}
+	m.entry.Pickers = lookingPicks{m.picker}
 	full := new(fullGate)
 	m.dest[0].Gates, m.dest[1].Gates = full, full
 	if resp, _, err := m.call("POST", "/book", "slip 3", call.HeaderKey, "k1"); err != nil || resp.StatusCode != http.StatusOK {
--- a/internal/proxy/meters_test.go
+++ b/internal/proxy/meters_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestFigures(t *testing.T) {
+func TestClassStats(t *testing.T) {
 	m := NewMeters()
 	target := lookups()
 	target.AnswerWithinMS = 50
--- a/internal/proxy/pinned_test.go
+++ b/internal/proxy/pinned_test.go
@@ -54,9 +54,9 @@
 	for here := range 2 {
 		for first := range uint64(2) {
 			m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-			m.entry.Suspects = listed{quarantine.New(time.Now(), quarantine.Options{Self: "vm9"})}
-			m.entry.Retrier = policied{retry.New(retry.Options{})}
-			m.picks.next.Store(first)
+			m.entry.Suspects = listSuspects{quarantine.New(time.Now(), quarantine.Options{Self: "vm9"})}
+			m.entry.Retrier = policyRetrier{retry.New(retry.Options{})}
+			m.picker.next.Store(first)
 			var right, wrong atomic.Int64
 			m.dest[here].Suspects = pinning{here: true, ran: &right}
 			m.dest[1-here].Suspects = pinning{ran: &wrong}
@@ -74,8 +74,8 @@
 func TestSuspectIsNotSentInCirclesForEver(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
 	m.entry.Suspects = suspectAll{}
-	m.entry.Retrier = policied{retry.New(retry.Options{})}
-	m.entry.Pickers = anyEndpoint{m.picks}
+	m.entry.Retrier = policyRetrier{retry.New(retry.Options{})}
+	m.entry.Pickers = anyEndpoint{m.picker}
 	var ran atomic.Int64
 	m.dest[0].Suspects, m.dest[1].Suspects = pinning{ran: &ran}, pinning{ran: &ran}
 	resp, body, err := m.call("POST", "/", "x")
@@ -89,8 +89,8 @@
 // booking for refused for good and gave up.
 func TestHeldBackRequestMayComeBack(t *testing.T) {
 	m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	m.entry.Suspects = listed{quarantine.New(time.Now(), quarantine.Options{Self: "vm9"})}
-	for i := range m.eps {
+	m.entry.Suspects = listSuspects{quarantine.New(time.Now(), quarantine.Options{Self: "vm9"})}
+	for i := range m.endpoints {
 		m.useOnly(i)
 		if resp, _, err := m.call("POST", "/", "x"); err != nil || resp.StatusCode != http.StatusBadGateway {
 			t.Fatalf("got %v %v", resp, err)
--- a/internal/proxy/property_test.go
+++ b/internal/proxy/property_test.go
@@ -17,16 +17,16 @@
 type fault string
 
 const (
-	faultNone     fault = "answers"
-	faultRefuse   fault = "refuses with its nonce"
-	faultImposter fault = "refuses with another nonce, having run it"
-	faultDie      fault = "runs it and dies"
-	faultCut      fault = "runs it and dies in its answer"
-	faultSilent   fault = "runs it and falls silent"
-	faultReset    fault = "dies before it reads"
+	faultNone        fault = "answers"
+	faultRefuse      fault = "refuses with its nonce"
+	faultForgedNonce fault = "refuses with another nonce, having run it"
+	faultCrash       fault = "runs it and dies"
+	faultTruncate    fault = "runs it and dies in its answer"
+	faultSilent      fault = "runs it and falls silent"
+	faultReset       fault = "dies before it reads"
 )
 
-var faults = []fault{faultNone, faultRefuse, faultImposter, faultDie, faultCut, faultSilent, faultReset}
+var faults = []fault{faultNone, faultRefuse, faultForgedNonce, faultCrash, faultTruncate, faultSilent, faultReset}
 
 // script plays faults, one for each attempt in turn, and counts runs.
 type script struct {
@@ -35,7 +35,7 @@
 	runs   int
 }
 
-func (s *script) next(ran func(fault) bool) fault {
+func (s *script) nextFault(ran func(fault) bool) fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := faultNone
@@ -51,17 +51,17 @@
 func runs(f fault) bool { return f != faultRefuse && f != faultReset }
 
 func (s *script) serve(w http.ResponseWriter, r *http.Request) {
-	switch s.next(runs) {
+	switch s.nextFault(runs) {
 	case faultRefuse:
 		w.Header().Set(call.HeaderRefused, r.Header.Get(call.HeaderAttempt))
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case faultImposter:
+	case faultForgedNonce:
 		w.Header().Set(call.HeaderRefused, "0"+r.Header.Get(call.HeaderAttempt))
 		w.Header().Set(call.HeaderNotRun, string(call.ReasonOverloaded))
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case faultDie, faultReset:
+	case faultCrash, faultReset:
 		panic(http.ErrAbortHandler)
-	case faultCut:
+	case faultTruncate:
 		w.Header().Set("Content-Length", "100")
 		io.WriteString(w, "whole")
 		w.(http.Flusher).Flush()
@@ -77,7 +77,7 @@
 // destinations are draining: a caller that is told "not run" was not run, a
 // call that is not idempotent ran at most once, and an answer that ends well is
 // whole.
-func TestPromisesUnderFaults(t *testing.T) {
+func TestCallGuaranteesUnderFaults(t *testing.T) {
 	// Each call names its script: a late attempt must not play another's.
 	var scripts sync.Map
 	play := func(w http.ResponseWriter, r *http.Request) {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -15,25 +15,25 @@
 )
 
 // one is a program with a single class.
-type one struct{ t *config.Target }
+type singleClass struct{ t *config.Target }
 
-func (o one) Match(_, path, _ string) (*config.Target, bool) {
+func (o singleClass) Match(_, path, _ string) (*config.Target, bool) {
 	return o.t, strings.HasPrefix(path, o.t.Match.PathPrefix)
 }
 
-func (o one) Target(name, service string) *config.Target {
+func (o singleClass) Target(name, service string) *config.Target {
 	if name == o.t.Name && service == o.t.Service {
 		return o.t
 	}
 	return nil
 }
 
-func (o one) Program() *Program { return &Program{Matcher: o, Targets: o} }
+func (o singleClass) Program() *Program { return &Program{Matcher: o, Targets: o} }
 
 // held are the backend servers of one VM.
-type held []Backend
+type fixedBackends []Backend
 
-func (h held) Find(service, instance string) (Backend, bool) {
+func (h fixedBackends) Find(service, instance string) (Backend, bool) {
 	for _, b := range h {
 		if b.Service == service && (instance == "" || b.Instance == instance) {
 			return b, true
@@ -45,17 +45,17 @@
 // mesh is an entry node, two destination nodes and a backend server on
 // loopback.
 type mesh struct {
-	t       *testing.T
-	entry   *Entry
-	dest    [2]*Destination
-	backend *httptest.Server
-	public  *httptest.Server
-	inside  *httptest.Server
-	picks   *RoundRobin
-	nodes   [2]*testNode
-	calls   [2]drain.Calls // of nodes
-	eps     []Endpoint
-	runs    atomic.Int64
+	t         *testing.T
+	entry     *Entry
+	dest      [2]*Destination
+	backend   *httptest.Server
+	public    *httptest.Server
+	internal  *httptest.Server
+	picker    *RoundRobin
+	nodes     [2]*testNode
+	calls     [2]drain.Calls // of nodes
+	endpoints []Endpoint
+	runs      atomic.Int64
 }
 
 const testService = "berths"
@@ -72,7 +72,7 @@
 }
 
 func newMesh(t *testing.T, target *config.Target, h http.HandlerFunc) *mesh {
-	m := &mesh{t: t, picks: new(RoundRobin)}
+	m := &mesh{t: t, picker: new(RoundRobin)}
 	m.backend = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		m.runs.Add(1)
 		h(w, r)
@@ -83,32 +83,32 @@
 		ups := NewUpstreams(SlowProbing)
 		t.Cleanup(ups.Close)
 		m.dest[i] = NewDestination(DestinationOptions{
-			Programs: one{target}, Upstreams: ups, Gates: new(FixedLimit),
-			Backends: held{{Service: testService, Instance: "a", Addr: addr, Slots: 8, State: membership.BackendReady}},
+			Programs: singleClass{target}, Upstreams: ups, Gates: new(FixedLimit),
+			Backends: fixedBackends{{Service: testService, Instance: "a", Addr: addr, Slots: 8, State: membership.BackendReady}},
 		})
 		s := startNode(t, &m.calls[i], m.dest[i])
 		m.nodes[i] = s
-		m.eps = append(m.eps, Endpoint{ID: "vm" + string(rune('0'+i)) + "/a", VM: "vm" + string(rune('0'+i)),
+		m.endpoints = append(m.endpoints, Endpoint{ID: "vm" + string(rune('0'+i)) + "/a", VM: "vm" + string(rune('0'+i)),
 			Instance: "a", Addr: strings.TrimPrefix(s.URL, "http://")})
 	}
 	m.useAll()
 	ups := NewUpstreams(SlowProbing)
 	t.Cleanup(ups.Close)
 	m.entry = NewEntry(EntryParts{
-		Self: "vm9", Programs: one{target}, Pickers: m.picks, Retrier: RetryUpTo(3), Upstreams: ups,
+		Self: "vm9", Programs: singleClass{target}, Pickers: m.picker, Retrier: RetryUpTo(3), Upstreams: ups,
 	})
 	m.public = httptest.NewServer(m.entry.Public())
 	t.Cleanup(m.public.Close)
-	m.inside = httptest.NewServer(m.entry.Internal())
-	t.Cleanup(m.inside.Close)
+	m.internal = httptest.NewServer(m.entry.Internal())
+	t.Cleanup(m.internal.Close)
 	return m
 }
 
 // useAll gives the entry node both endpoints, useOnly one.
-func (m *mesh) useAll() { m.picks.Set(map[string][]Endpoint{testService: m.eps}) }
+func (m *mesh) useAll() { m.picker.Set(map[string][]Endpoint{testService: m.endpoints}) }
 
 func (m *mesh) useOnly(i int) {
-	m.picks.Set(map[string][]Endpoint{testService: m.eps[i : i+1]})
+	m.picker.Set(map[string][]Endpoint{testService: m.endpoints[i : i+1]})
 }
 
 // call makes a call and returns its answer and body.
--- a/internal/proxy/quiet_test.go
+++ b/internal/proxy/quiet_test.go
@@ -17,9 +17,9 @@
 )
 
 // closed admits no call, as a node does that has just started.
-type closed struct{}
+type notReadyAdmitter struct{}
 
-func (closed) Admit(time.Time, *config.Target) *call.Refusal {
+func (notReadyAdmitter) Admit(time.Time, *config.Target) *call.Refusal {
 	return &call.Refusal{Reason: call.ReasonNotReady, RetryAfter: time.Second}
 }
 
@@ -30,7 +30,7 @@
 	target := bookings()
 	target.Match.PathPrefix = "/berths"
 	m := newMesh(t, target, func(http.ResponseWriter, *http.Request) {})
-	m.entry.Admitter = closed{}
+	m.entry.Admitter = notReadyAdmitter{}
 	resp, _, err := m.call("POST", "/launch", "x")
 	if err != nil {
 		t.Fatal(err)
@@ -42,9 +42,9 @@
 
 // hanging is a gate whose slots are held by calls on silent connections: who
 // comes waits until its deadline.
-type hanging struct{}
+type blockedGate struct{}
 
-func (hanging) Acquire(ctx context.Context, _ Backend, _ *config.Target, times limit.AcquireOptions) (Permit, error) {
+func (blockedGate) Acquire(ctx context.Context, _ Backend, _ *config.Target, times limit.AcquireOptions) (Permit, error) {
 	t := time.NewTimer(time.Until(times.Deadline))
 	defer t.Stop()
 	select {
@@ -56,22 +56,22 @@
 }
 
 // policied decides by the policy of one service.
-type policied struct{ p *retry.Policy }
+type policyRetrier struct{ p *retry.Policy }
 
-func (p policied) Called(string) { p.p.RecordCall() }
+func (p policyRetrier) Called(string) { p.p.RecordCall() }
 
-func (p policied) Decide(_ string, in retry.Input) retry.Decision { return p.p.Decide(in) }
+func (p policyRetrier) Decide(_ string, in retry.Input) retry.Decision { return p.p.Decide(in) }
 
 // Connections to one backend server went silent, and the calls on them hold its
 // slots. A lookup waits in the queue for half of its time and is dropped there
 // as expired. Half of its time was left, and the other endpoint was idle, but
 // its caller was told that the deadline had passed.
-func TestLookupDroppedInOneQueueGoesToAnother(t *testing.T) {
+func TestLookupExpiredInOneQueueIsRetriedElsewhere(t *testing.T) {
 	m := newMesh(t, lookups(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	m.dest[0].Gates = hanging{}
+	m.dest[0].Gates = blockedGate{}
 	m.entry.Self, m.entry.Local = "vm0", m.dest[0]
-	m.entry.Retrier = policied{retry.New(retry.Options{})}
-	m.picks.next.Store(^uint64(0))
+	m.entry.Retrier = policyRetrier{retry.New(retry.Options{})}
+	m.picker.next.Store(^uint64(0))
 	resp, body, err := m.call("GET", "/", "", call.HeaderDeadline, "1000")
 	if err != nil || body != "ok" {
 		t.Fatalf("got %v %q %v", resp, body, err)
@@ -81,12 +81,12 @@
 // Connections between nodes went silent. A lookup waits in vain at two
 // endpoints, or its caller gives up at two. The entry node took that for two
 // crashes and refused the lookup to everybody for seconds.
-func TestWaitingInVainIsNoCrash(t *testing.T) {
+func TestTimeoutIsNotACrash(t *testing.T) {
 	release := make(chan struct{})
 	m := newMesh(t, lookups(), func(w http.ResponseWriter, r *http.Request) { <-release })
 	t.Cleanup(func() { close(release) })
 	list := quarantine.New(time.Now(), quarantine.Options{Self: "vm9"})
-	m.entry.Suspects = listed{list}
+	m.entry.Suspects = listSuspects{list}
 	for range 3 {
 		resp, _, err := m.call("GET", "/", "", call.HeaderDeadline, "40")
 		if err != nil || resp.Header.Get(call.HeaderNotRun) != "" {
@@ -114,27 +114,27 @@
 }
 
 // listed keeps what an entry node asks of a list.
-type listed struct{ *quarantine.List }
+type listSuspects struct{ *quarantine.List }
 
-func (l listed) Blocked(now time.Time, fp quarantine.Fingerprint) *call.Refusal {
+func (l listSuspects) Blocked(now time.Time, fp quarantine.Fingerprint) *call.Refusal {
 	if e, blocked := l.List.Blocked(now, fp); blocked {
 		return e.NewRefusal(now)
 	}
 	return nil
 }
 
-func (l listed) Pinned(time.Time, Backend, quarantine.Fingerprint) *call.Refusal { return nil }
+func (l listSuspects) Pinned(time.Time, Backend, quarantine.Fingerprint) *call.Refusal { return nil }
 
-func (l listed) Start(time.Time, Backend, quarantine.Fingerprint, quarantine.Request) (quarantine.Token, error) {
+func (l listSuspects) Start(time.Time, Backend, quarantine.Fingerprint, quarantine.Request) (quarantine.Token, error) {
 	return quarantine.Token{}, nil
 }
 
-func (l listed) Done(time.Time, Backend, quarantine.Token, quarantine.RunResult) {}
+func (l listSuspects) Done(time.Time, Backend, quarantine.Token, quarantine.RunResult) {}
 
 // A connection goes silent in the middle of an archive. The exporter saw
 // neither the rest nor an end for half a minute, although the class promises an
 // answer within two seconds. It must see the cut in time to ask again.
-func TestSilenceWithinAnAnswerIsCutInTime(t *testing.T) {
+func TestStalledAnswerIsAborted(t *testing.T) {
 	release := make(chan struct{})
 	target := lookups()
 	target.DeadlineMS = 1000
@@ -181,7 +181,7 @@
 // isolated. The one endpoint that its fingerprint chooses is down after a crash
 // of its own. The lookup was sent there until its attempts were used up, while
 // the other endpoint stood idle.
-func TestIsolatedCallPassesOverClosedEndpoints(t *testing.T) {
+func TestIsolatedCallSkipsUnavailableEndpoints(t *testing.T) {
 	for _, first := range []int{0, 1} {
 		m := newMesh(t, lookups(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
 		m.entry.Suspects = suspectAll{}
@@ -211,20 +211,20 @@
 
 // dropping is a gate that drops every call as expired, a moment before its
 // deadline.
-type dropping struct{}
+type expiringGate struct{}
 
-func (dropping) Acquire(context.Context, Backend, *config.Target, limit.AcquireOptions) (Permit, error) {
+func (expiringGate) Acquire(context.Context, Backend, *config.Target, limit.AcquireOptions) (Permit, error) {
 	return nil, refuse(call.ReasonExpired, 0, "")
 }
 
 // A booking waits in a full queue with all of its time, and is dropped a moment
 // before its deadline. It was sent to another endpoint in that moment, waited
 // there past its deadline, and its caller was told that it may have run.
-func TestBookingDroppedAtItsDeadlineIsNotSentAgain(t *testing.T) {
+func TestCallExpiredAtItsDeadlineIsNotRetried(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	m.dest[0].Gates = dropping{}
-	m.entry.Retrier = policied{retry.New(retry.Options{})}
-	m.picks.next.Store(^uint64(0))
+	m.dest[0].Gates = expiringGate{}
+	m.entry.Retrier = policyRetrier{retry.New(retry.Options{})}
+	m.picker.next.Store(^uint64(0))
 	resp, _, err := m.call("POST", "/", "x")
 	if err != nil || resp.Header.Get(call.HeaderNotRun) != string(call.ReasonExpired) || m.runs.Load() != 0 {
 		t.Fatalf("got %v %v, run %d times", resp, err, m.runs.Load())
--- a/internal/proxy/refusal_test.go
+++ b/internal/proxy/refusal_test.go
@@ -12,7 +12,7 @@
 // word was rounded up, and every refused caller came back a second later at the least:
 // later than its class aims at, whatever the queue. And most of what a busy mesh sent
 // between its data centres were the problem documents of such refusals.
-func TestRefusalsBetweenNodesAreShortAndExact(t *testing.T) {
+func TestNodeRefusalRoundTrip(t *testing.T) {
 	for _, want := range []call.Refusal{
 		{Reason: call.ReasonOverloaded, RetryAfter: 150 * time.Millisecond, Detail: "the wait would be too long"},
 		{Reason: call.ReasonBackend, Detail: detailDeep},
--- a/internal/proxy/report_test.go
+++ b/internal/proxy/report_test.go
@@ -12,7 +12,7 @@
 // Each time the node beside the backend server says at once that its outcome is
 // not known. The entry node counted each as a failed call and left the endpoint
 // out, which had run all that reached it well.
-func TestUnknownKeyDoesNotEjectTheEndpoint(t *testing.T) {
+func TestUnknownKeyDoesNotEjectEndpoint(t *testing.T) {
 	for kind, eject := range map[unknownKind]bool{
 		unknownKeyOutcome: false, unknownNotStored: false, unknownStoreDown: false, unknownLost: true, unknownTimeout: true,
 	} {
--- a/internal/proxy/silent_body_test.go
+++ b/internal/proxy/silent_body_test.go
@@ -13,12 +13,12 @@
 )
 
 // oneConn is a listener that accepts one connection.
-type oneConn struct {
+type oneConnListener struct {
 	conn net.Conn
 	done chan struct{}
 }
 
-func (l *oneConn) Accept() (net.Conn, error) {
+func (l *oneConnListener) Accept() (net.Conn, error) {
 	if c := l.conn; c != nil {
 		l.conn = nil
 		return c, nil
@@ -27,14 +27,14 @@
 	return nil, net.ErrClosed
 }
 
-func (l *oneConn) Close() error   { close(l.done); return nil }
-func (l *oneConn) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *oneConnListener) Close() error   { close(l.done); return nil }
+func (l *oneConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // A caller sent the header of a call with a small body, and no body. The call
 // held its memory for ever, past its deadline: 512 such callers took all the
 // memory for bodies that can be sent again, and a planned stop waited for each
 // until the drain limit.
-func TestCallWithSilentBodyEndsAtItsDeadline(t *testing.T) {
+func TestCallWithStalledBodyExpires(t *testing.T) {
 	line := hop{class: "bookings", service: testService, instance: "a", left: 3 * time.Second}.String()
 	for name, c := range map[string]struct {
 		handler func(*mesh) http.Handler
@@ -55,7 +55,7 @@
 
 func silentBody(t *testing.T, h http.Handler, header string) {
 	client, server := net.Pipe()
-	ln := &oneConn{server, make(chan struct{})}
+	ln := &oneConnListener{server, make(chan struct{})}
 	s := &http.Server{Handler: h}
 	served := make(chan struct{})
 	go func() { defer close(served); _ = s.Serve(ln) }()
--- a/internal/proxy/silent_test.go
+++ b/internal/proxy/silent_test.go
@@ -18,32 +18,32 @@
 
 // forgetful is a listener behind something that forgets connections: those
 // accepted before forget take bytes and deliver none.
-type forgetful struct {
+type silencingListener struct {
 	net.Listener
 	epoch    atomic.Int64
 	accepted atomic.Int64
 }
 
-func (f *forgetful) forget() { f.epoch.Add(1) }
+func (f *silencingListener) silence() { f.epoch.Add(1) }
 
-func (f *forgetful) Accept() (net.Conn, error) {
+func (f *silencingListener) Accept() (net.Conn, error) {
 	c, err := f.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	f.accepted.Add(1)
-	return &forgottenConn{Conn: c, of: f, epoch: f.epoch.Load()}, nil
+	return &silencedConn{Conn: c, of: f, epoch: f.epoch.Load()}, nil
 }
 
-type forgottenConn struct {
+type silencedConn struct {
 	net.Conn
-	of    *forgetful
+	of    *silencingListener
 	epoch int64
 }
 
 // Read delivers nothing any more once the connection was forgotten. It ends like any other, by
 // a deadline or a close.
-func (c *forgottenConn) Read(p []byte) (int, error) {
+func (c *silencedConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
 		if err != nil || c.epoch == c.of.epoch.Load() {
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &forgetful{Listener: l}
+	f := &silencingListener{Listener: l}
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/warm" {
 			together.Done()
@@ -76,7 +76,7 @@
 	s.Listener = f
 	s.Start()
 	t.Cleanup(s.Close)
-	m.dest[0].Backends = held{{Service: testService, Instance: "a", Slots: 8,
+	m.dest[0].Backends = fixedBackends{{Service: testService, Instance: "a", Slots: 8,
 		Addr: strings.TrimPrefix(s.URL, "http://"), State: membership.BackendReady}}
 	m.useOnly(0)
 	var warm sync.WaitGroup
@@ -84,7 +84,7 @@
 		warm.Go(func() { m.call("POST", "/warm", "x") })
 	}
 	warm.Wait()
-	f.forget()
+	f.silence()
 	resp, _, err := m.call("POST", "/book", "x", call.HeaderDeadline, "50")
 	if err != nil || resp.StatusCode != http.StatusGatewayTimeout || resp.Header.Get(call.HeaderNotRun) != "" {
 		t.Fatalf("on a silent connection: %v %v", resp, err)
@@ -100,12 +100,12 @@
 
 // silentPool returns a pool with two idle connections to a server that has forgotten both,
 // and what sends a call that must be answered within wait.
-func silentPool(t *testing.T) (f *forgetful, send func(ctx context.Context, wait time.Duration) answer) {
+func silentPool(t *testing.T) (f *silencingListener, send func(ctx context.Context, wait time.Duration) answer) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f = &forgetful{Listener: l}
+	f = &silencingListener{Listener: l}
 	var together sync.WaitGroup
 	together.Add(2)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -136,7 +136,7 @@
 	}
 	warm.Wait()
 	path = "/book"
-	f.forget()
+	f.silence()
 	return f, send
 }
 
@@ -144,7 +144,7 @@
 // from an earlier moment than the destination and gives the call up first, so the
 // destination sees a caller that leaves. The next call must not find the other silent
 // connection and wait out a deadline as well.
-func TestCallerGoneAtTheDeadlineRetiresSilentConnections(t *testing.T) {
+func TestCancelAtDeadlineRetiresSilentConnections(t *testing.T) {
 	f, send := silentPool(t)
 	const bound = 300 * time.Millisecond
 	leaving, leave := context.WithCancel(t.Context())
@@ -164,7 +164,7 @@
 
 // A caller that leaves long before its deadline says nothing about connections: the idle
 // ones stay, or impatient callers would cost a busy backend server a new connection a call.
-func TestCallerGoneEarlyRetiresNothing(t *testing.T) {
+func TestEarlyCancelRetiresNoConnections(t *testing.T) {
 	f, send := silentPool(t)
 	leaving, leave := context.WithCancel(t.Context())
 	time.AfterFunc(10*time.Millisecond, leave)
@@ -182,7 +182,7 @@
 // Something between node and backend server has forgotten the connection:
 // requests vanish and no answer comes. The caller gets its answer within the
 // deadline, and is not told that the call was not run.
-func TestSilentBackendIsBounded(t *testing.T) {
+func TestSilentBackendTimesOut(t *testing.T) {
 	release := make(chan struct{})
 	m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) { <-release })
 	t.Cleanup(func() { close(release) })
@@ -198,15 +198,15 @@
 // The VM's call address takes connections and answers nothing, not even the
 // opening of a connection. An idempotent lookup keeps half of its time, and is
 // answered by the other endpoint.
-func TestSilentNodeLeavesTimeForAnother(t *testing.T) {
+func TestSilentNodeLeavesTimeForRetry(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	m := newMesh(t, lookups(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	m.eps[0].Addr = l.Addr().String()
-	m.picks.next.Store(^uint64(0))
+	m.endpoints[0].Addr = l.Addr().String()
+	m.picker.next.Store(^uint64(0))
 	resp, body, err := m.call("GET", "/", "", call.HeaderDeadline, "2000")
 	if err != nil || body != "ok" {
 		t.Fatalf("got %v %q %v", resp, body, err)
--- a/internal/proxy/spool_test.go
+++ b/internal/proxy/spool_test.go
@@ -20,7 +20,7 @@
 // A backend server's answer breaks off in its middle. Passed on as it came, the
 // caller's connection had to be broken off as well; read first, the call can go to
 // another endpoint.
-func TestSpoolSeesBrokenAnswers(t *testing.T) {
+func TestSpoolDetectsTruncatedAnswers(t *testing.T) {
 	s := NewSpool(1 << 20)
 	if tried, err := s.read(response(10, strings.NewReader("half"))); !tried || !errors.Is(err, errAnswerTruncated) {
 		t.Errorf("broken: %v %v", tried, err)
@@ -44,7 +44,7 @@
 
 // What must not be read whole: answers of unknown length, which may be endless,
 // those over the bound, and those for which there is no memory left.
-func TestSpoolPassesOnTheRest(t *testing.T) {
+func TestSpoolSkipsUnboundedAnswers(t *testing.T) {
 	s := NewSpool(8)
 	for _, n := range []int64{-1, 0, 9, maxSpooledBytes + 1} {
 		if tried, err := s.read(response(n, strings.NewReader("x"))); tried || err != nil {
@@ -88,7 +88,7 @@
 // An export of 280 KB should be there within 0.8 s over a link of 11 Mbit/s; a
 // picture of 90 KB has more time over one of 5. At a fixed part of the link, one of
 // the two is too late or the other keeps lookups waiting.
-func TestAnswerRateFollowsTheAim(t *testing.T) {
+func TestAnswerRateFollowsTargetLatency(t *testing.T) {
 	for _, c := range []struct {
 		aimMS, size int64
 		mbps, want  float64 // parts of the link
--- a/internal/proxy/toolong_test.go
+++ b/internal/proxy/toolong_test.go
@@ -11,14 +11,14 @@
 )
 
 // bounded is one class whose callers may send only so much.
-type bounded struct {
-	one
-	most int64
+type boundedClass struct {
+	singleClass
+	maxBody int64
 }
 
-func (b bounded) Program() *Program {
-	p := b.one.Program()
-	p.MaxBody = b.most
+func (b boundedClass) Program() *Program {
+	p := b.singleClass.Program()
+	p.MaxBody = b.maxBody
 	return p
 }
 
@@ -26,14 +26,14 @@
 // announces its length is told so before a backend server is asked. The other, sent
 // in chunks, is known too late: it must neither be passed on whole nor be taken for
 // a request that crashes backend servers.
-func TestBodyOverItsBound(t *testing.T) {
+func TestBodyOverSizeLimit(t *testing.T) {
 	whole := make(chan bool, 4)
 	m := newMesh(t, bookings(), func(_ http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
 		whole <- err == nil
 	})
-	m.entry.Programs = bounded{one{bookings()}, 100 << 10}
-	m.entry.Suspects = innocents{t: t}
+	m.entry.Programs = boundedClass{singleClass{bookings()}, 100 << 10}
+	m.entry.Suspects = noCrashSuspects{t: t}
 	survey := strings.Repeat("x", 200<<10)
 
 	resp, body, err := m.call("POST", "/", survey)
@@ -62,13 +62,13 @@
 }
 
 // innocents fails its test when a request is taken for one that crashes.
-type innocents struct {
+type noCrashSuspects struct {
 	suspectAll
 	t *testing.T
 }
 
-func (innocents) Isolated(time.Time, quarantine.Fingerprint) bool { return false }
+func (noCrashSuspects) Isolated(time.Time, quarantine.Fingerprint) bool { return false }
 
-func (i innocents) Broke(_ time.Time, _ quarantine.Fingerprint, endpoint string) {
+func (i noCrashSuspects) Broke(_ time.Time, _ quarantine.Fingerprint, endpoint string) {
 	i.t.Errorf("a crash at %s is suspected", endpoint)
 }
--- a/internal/proxy/tracing_test.go
+++ b/internal/proxy/tracing_test.go
@@ -40,7 +40,7 @@
 
 // Without tracing the caller's context passes as it is, so that a trace of the
 // callers and the backend servers holds together.
-func TestTraceContextPassesUntraced(t *testing.T) {
+func TestTraceContextPassesWithoutTracing(t *testing.T) {
 	seen := make(chan string, 1)
 	m := newMesh(t, bookings(), func(_ http.ResponseWriter, r *http.Request) { seen <- r.Header.Get("Traceparent") })
 	m.entry.Tracer = NewTracer(noop.NewTracerProvider())
