--- a/internal/node/callpath.go
+++ b/internal/node/callpath.go
@@ -72,7 +72,7 @@
 	link := proxy.NewLinkPacer(n.set.VM.LinkMbps)
 	c.dest = proxy.NewDestination(n.o.Policies.destinationParts(proxy.DestinationOptions{
 		Programs: programs, Backends: backends{n.registry}, Gates: c.gates, SlotUse: c.gates.use,
-		Claims: keeper{c.keeper}, Suspects: c.suspects, Rollouts: n.rollouts, Upstreams: c.upstreams, Tracer: tracer,
+		Deduplicator: keeper{c.keeper}, Suspects: c.suspects, Rollouts: n.rollouts, Upstreams: c.upstreams, Tracer: tracer,
 		Dialect: n.o.Dialect, Decisions: c.decisions,
 		Spool: n.spool(), Link: link,
 	}))
--- a/internal/node/policies.go
+++ b/internal/node/policies.go
@@ -38,7 +38,7 @@
 		parts.Gates = new(proxy.FixedLimit)
 	}
 	if p.NoKeeper {
-		parts.Claims = nil
+		parts.Deduplicator = nil
 	}
 	if p.NoQuarantine {
 		parts.Suspects = nil
--- a/internal/proxy/destination.go
+++ b/internal/proxy/destination.go
@@ -14,7 +14,7 @@
 	"github.com/marlpass/marlpass/internal/retry"
 )
 
-// DestinationOptions holds the settings and dependencies of a Destination. Gates, Claims and
+// DestinationOptions holds the settings and dependencies of a Destination. Gates, Deduplicator and
 // Suspects may be nil; the Destination then does not queue, claim or quarantine calls.
 type DestinationOptions struct {
 	Programs Programs
@@ -22,14 +22,14 @@
 	Gates    Gates
 	// SlotUse returns the slot usage of a backend server, for load reports and logs; nil means
 	// unknown.
-	SlotUse   func(Backend) SlotUse
-	Claims    Keeper
-	Suspects  Suspects
-	Rollouts  Rollouts // nil if no rollouts are managed
-	Upstreams *Upstreams
-	Meters    *Meters
-	Tracer    *Tracer
-	Dialect   Dialect // ownDialect if nil
+	SlotUse      func(Backend) SlotUse
+	Deduplicator Keeper
+	Suspects     Suspects
+	Rollouts     Rollouts // nil if no rollouts are managed
+	Upstreams    *Upstreams
+	Meters       *Meters
+	Tracer       *Tracer
+	Dialect      Dialect // ownDialect if nil
 	// Spool, if set, buffers whole answers before they are relayed. Link paces answers to other
 	// VMs.
 	Spool *Spool
--- a/internal/proxy/destination_claim.go
+++ b/internal/proxy/destination_claim.go
@@ -11,7 +11,7 @@
 // claim makes sure that a keyed call runs at most once. If done is set, a is the final answer.
 func (d *Destination) claim(ctx context.Context, in *inbound, h *execution) (a answer, done bool) {
 	key := first(in.header, call.HeaderKey)
-	if key == "" || h.target.Idempotent || d.Claims == nil {
+	if key == "" || h.target.Idempotent || d.Deduplicator == nil {
 		return answer{}, false
 	}
 	if in.body.overBudget() {
@@ -21,7 +21,7 @@
 		return answer{refusal: refuse(call.ReasonBadRequest, 0,
 			"a request with an idempotency key needs a body of known length, of at most 64 KiB")}, true
 	}
-	claim, stored, err := d.Claims.Begin(ctx, KeyedCall{
+	claim, stored, err := d.Deduplicator.Begin(ctx, KeyedCall{
 		Target: h.target, Key: key, Fingerprint: fingerprint(in), Deadline: in.deadline,
 	})
 	switch {
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -68,7 +68,7 @@
 	m := newMesh(t, bookings(), h)
 	k := newMemoryClaims()
 	for _, d := range m.dest {
-		d.Claims = k
+		d.Deduplicator = k
 	}
 	return m, k
 }
@@ -169,7 +169,7 @@
 		io.WriteString(w, r.Header.Get("Idempotency-Key"))
 	})
 	k := newMemoryClaims()
-	m.dest[0].Claims, m.dest[1].Claims = k, k
+	m.dest[0].Deduplicator, m.dest[1].Deduplicator = k, k
 	_, body, err := m.call("POST", "/", "x", "Idempotency-Key", "k1")
 	if err != nil || body != "k1" || len(k.stored) != 0 {
 		t.Fatalf("got %q %v, claims %v", body, err, k.stored)
@@ -209,7 +209,7 @@
 func TestResendDuringPlatformOutageIsUnknown(t *testing.T) {
 	m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	k := &unavailableClaims{memoryClaims: newMemoryClaims()}
-	m.dest[0].Claims, m.dest[1].Claims = k, k
+	m.dest[0].Deduplicator, m.dest[1].Deduplicator = k, k
 	m.call("POST", "/charge", "x", "Idempotency-Key", "k1")
 	<-k.ended
 	k.down = true
