--- a/internal/load/mesh.go
+++ b/internal/load/mesh.go
@@ -146,7 +146,7 @@
 	if err != nil {
 		return "", err
 	}
-	s := &http.Server{Handler: h, IdleTimeout: proxy.ServerIdle}
+	s := &http.Server{Handler: h, IdleTimeout: proxy.ServerIdleTimeout}
 	m.servers = append(m.servers, s)
 	go s.Serve(l)
 	return l.Addr().String(), nil
--- a/internal/node/callpath.go
+++ b/internal/node/callpath.go
@@ -53,7 +53,7 @@
 		gates:     newGates(),
 		keeper:    once.New(once.Options{Table: n.control.table, Holder: n.self.ID}),
 		upstreams: n.upstreams(),
-		nodes:     n.upstreams().Secured(n.control.trust.secure()),
+		nodes:     n.upstreams().WithHandshake(n.control.trust.secure()),
 		meters:    proxy.NewMeters(),
 		retries:   &retries{set: n.set.Retries},
 		decisions: decisions.New(telemetry.Part(n.log, "calls"), n.o.LostLines),
@@ -76,23 +76,23 @@
 		Dialect: n.o.Dialect, Decisions: c.decisions,
 		Spool: n.spool(), Link: link,
 	}))
-	c.entry = proxy.NewEntry(n.o.Policies.entryParts(proxy.EntryParts{
-		Self: n.self.ID, Programs: programs, Starting: n.start, Admitter: admission{c}, Pickers: c.pickers,
+	c.entry = proxy.NewEntry(n.o.Policies.entryParts(proxy.EntryOptions{
+		Self: n.self.ID, Programs: programs, Readiness: n.start, Admitter: admission{c}, Pickers: c.pickers,
 		Retrier: c.retries, Suspects: c.suspects, Workspaces: n.workspaces, Local: c.dest, Upstreams: c.nodes,
 		Meters: c.meters, Tracer: tracer, Dialect: n.o.Dialect,
-		WaitOut: n.o.Source != nil, Decisions: c.decisions,
+		NoAttemptTimeout: n.o.Source != nil, Decisions: c.decisions,
 	}, c.pickers))
 	return c, nil
 }
 
 func (n *Node) upstreams() *proxy.Upstreams {
 	if n.o.Dial != nil {
-		return proxy.NewUpstreamsBy(n.o.Dial)
+		return proxy.NewUpstreamsWithDialer(n.o.Dial)
 	}
 	if n.o.Source != nil {
-		return proxy.NewUpstreams(proxy.SwiftProbing)
+		return proxy.NewUpstreams(proxy.FastDetection)
 	}
-	return proxy.NewUpstreams(proxy.SlowProbing)
+	return proxy.NewUpstreams(proxy.SlowDetection)
 }
 
 // spoolPart is the part of the process's memory that answers on their way may
--- a/internal/node/keeper.go
+++ b/internal/node/keeper.go
@@ -10,7 +10,7 @@
 // keeper gives once.Keeper the shape that the proxy asks for.
 type keeper struct{ k *once.Keeper }
 
-// Begin implements proxy.Keeper.
+// Begin implements proxy.Deduplicator.
 func (k keeper) Begin(ctx context.Context, c proxy.KeyedCall) (proxy.Claim, *proxy.Stored, error) {
 	b, err := k.k.Begin(ctx, once.Request{
 		Service:     c.Target.Service,
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -96,7 +96,7 @@
 		ErrorLog:          errorLog(log),
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
-		IdleTimeout:       proxy.ServerIdle,
+		IdleTimeout:       proxy.ServerIdleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
 }
--- a/internal/node/metrics_calls.go
+++ b/internal/node/metrics_calls.go
@@ -18,7 +18,7 @@
 	c.meters.PartTimes(func(service string, part proxy.Part, h proxy.Histogram) {
 		writeHistogram(p, "marlpass_call_part_seconds", h, "service", service, "part", string(part))
 	})
-	c.entry.FreeShares(func(service string, share float64) {
+	c.entry.FreeSlotShares(func(service string, share float64) {
 		p.gauge("marlpass_call_free_slot_ratio", share, "service", service)
 	})
 	c.retries.each(func(service string, left float64) {
--- a/internal/node/pickers.go
+++ b/internal/node/pickers.go
@@ -246,13 +246,13 @@
 }
 
 // Pick implements proxy.Pickers.
-func (p *pickers) Pick(now time.Time, t *config.Target, a proxy.Ask) (proxy.Choice, error) {
+func (p *pickers) Pick(now time.Time, t *config.Target, a proxy.PickInfo) (proxy.Choice, error) {
 	picker := p.of(t.Service)
 	size := p.sizes.of(t.Name)
 	var c route.Choice
 	var err error
-	if a.Look != proxy.LookNot {
-		c, err = picker.PickFreeSlot(now, a.Look == proxy.LookNear, a.Tried)
+	if a.Scope != proxy.NoSearch {
+		c, err = picker.PickFreeSlot(now, a.Scope == proxy.SearchDataCentre, a.Tried)
 	} else if t.RatePerSecond > 0 && len(a.Tried) > 0 {
 		// Every endpoint has an equal part of the rate. Where most callers
 		// are in one data centre, what is left is in the others.
@@ -308,7 +308,7 @@
 	c.c.Done(now, route.Report{
 		Outcome:   r.Outcome,
 		Failed:    r.Failed,
-		Cancelled: r.Left,
+		Cancelled: r.Cancelled,
 		Refused:   r.Refused,
 		Latency:   r.Latency, LinkWait: r.LinkWait,
 		Load: route.Load{Busy: r.Load.Busy, Slots: r.Load.Slots, Present: r.Load.Known},
--- a/internal/node/policies.go
+++ b/internal/node/policies.go
@@ -47,7 +47,7 @@
 }
 
 // entryParts returns the parts of the entry with these policies.
-func (p Policies) entryParts(parts proxy.EntryParts, own *pickers) proxy.EntryParts {
+func (p Policies) entryParts(parts proxy.EntryOptions, own *pickers) proxy.EntryOptions {
 	if p.RoundRobin {
 		own.plain = new(proxy.RoundRobin)
 		parts.Pickers = own.plain
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -101,7 +101,7 @@
 	return pipeline.Limits{
 		HeaderBytes:   cmp.Or(int(stated.HeaderBytes), maxHeaderBytes),
 		HeaderTimeout: cmp.Or(stated.HeaderTimeout(), headerTimeout),
-		IdleTimeout:   cmp.Or(stated.IdleTimeout(), proxy.ServerIdle),
+		IdleTimeout:   cmp.Or(stated.IdleTimeout(), proxy.ServerIdleTimeout),
 	}
 }
 
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -37,7 +37,7 @@
 // end lets the calls that wait go on.
 func (s *start) end() { s.once.Do(func() { close(s.over) }) }
 
-// Await implements proxy.Starting.
+// Await implements proxy.Readiness.
 func (s *start) Await(ctx context.Context) {
 	select {
 	case <-s.over:
--- a/internal/node/trust.go
+++ b/internal/node/trust.go
@@ -67,7 +67,7 @@
 }
 
 // secure returns what proves other nodes on connections for calls.
-func (t *trustFiles) secure() proxy.Secure {
+func (t *trustFiles) secure() proxy.Handshake {
 	if t.mesh == nil {
 		return nil
 	}
--- a/internal/node/workspaces.go
+++ b/internal/node/workspaces.go
@@ -71,8 +71,8 @@
 
 var _ assured = (*follow.Runner)(nil)
 
-// Confirmed implements proxy.Workspaces.
-func (w *workspaces) Confirmed(now time.Time) *call.Refusal {
+// CheckKeys implements proxy.Workspaces.
+func (w *workspaces) CheckKeys(now time.Time) *call.Refusal {
 	bound := w.n.set.Workspaces.ConfirmWithin.Duration
 	versions, ok := w.n.control.spread.(assured)
 	if bound == 0 || !ok {
@@ -92,8 +92,8 @@
 	return &call.Refusal{Reason: call.ReasonOverQuota, Detail: "workspace " + ws.Name, RetryAfter: around(overQuotaAgain)}
 }
 
-// GiveBack implements proxy.Workspaces.
-func (w *workspaces) GiveBack(_ time.Time, ws *config.Workspace) {
+// Refund implements proxy.Workspaces.
+func (w *workspaces) Refund(_ time.Time, ws *config.Workspace) {
 	if ws.RatePerSecond > 0 {
 		w.limiter.Refund(ws.Name)
 	}
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -11,7 +11,7 @@
 // still ran, and met the booking: the attempt was given back since the timer of
 // a yet earlier answer, of the same memory, had been stopped.
 func TestAttemptIsNotUsedAgainWhileItsTimerRuns(t *testing.T) {
-	up := NewUpstreams(SlowProbing).get(time.Now(), "127.0.0.1:1", "")
+	up := NewUpstreams(SlowDetection).get(time.Now(), "127.0.0.1:1", "")
 	for range 100 {
 		answered := newAttempt(up, nil, time.Hour)
 		answered.timer.Stop()
--- a/internal/proxy/baseline.go
+++ b/internal/proxy/baseline.go
@@ -25,8 +25,8 @@
 func (p *RoundRobin) Set(byService map[string][]Endpoint) { p.endpoints.Store(&byService) }
 
 // Pick returns the next endpoint that was not tried. No call looks around with it.
-func (p *RoundRobin) Pick(_ time.Time, t *config.Target, a Ask) (Choice, error) {
-	if a.Look != LookNot {
+func (p *RoundRobin) Pick(_ time.Time, t *config.Target, a PickInfo) (Choice, error) {
+	if a.Scope != NoSearch {
 		return nil, ErrTriedAll
 	}
 	m := p.endpoints.Load()
@@ -48,7 +48,7 @@
 func (p *RoundRobin) PickFixed(now time.Time, t *config.Target, key uint64, tried []string) (Choice, error) {
 	m := p.endpoints.Load()
 	if len(tried) > 0 || m == nil || len((*m)[t.Service]) == 0 {
-		return p.Pick(now, t, Ask{Tried: tried})
+		return p.Pick(now, t, PickInfo{Tried: tried})
 	}
 	all := (*m)[t.Service]
 	return (*plainChoice)(&all[key%uint64(len(all))]), nil
--- a/internal/proxy/destination.go
+++ b/internal/proxy/destination.go
@@ -23,7 +23,7 @@
 	// SlotUse tells how a backend server's slots are used, for the logs; it may be
 	// nil.
 	SlotUse   func(Backend) SlotUse
-	Keeper    Keeper
+	Keeper    Deduplicator
 	Suspects  Suspects
 	Rollouts  Rollouts // nil where versions make no difference
 	Upstreams *Upstreams
--- a/internal/proxy/destination_log.go
+++ b/internal/proxy/destination_log.go
@@ -15,7 +15,7 @@
 
 // line begins a line about a call at its destination.
 func (d *Destination) line(now time.Time, k decisions.Kind, in *inbound, b Backend) *zerolog.Event {
-	l := d.Decisions.Line(now, k, d.Dialect.ID(in.header))
+	l := d.Decisions.Line(now, k, d.Dialect.CallID(in.header))
 	if in.hop.waited > waitedLeast {
 		l.Int64("before_ms", in.hop.waited.Milliseconds())
 	}
--- a/internal/proxy/destination_run.go
+++ b/internal/proxy/destination_run.go
@@ -35,12 +35,12 @@
 	}
 	a := d.Upstreams.send(ctx, now, &outbound{
 		in: in.r, header: in.header, body: in.body, addr: h.backend.Addr, wait: left, stall: stallOf(h.target),
-		extra: d.Dialect.Attempt(left, h.backend.Instance),
+		extra: d.Dialect.AttemptHeaders(left, h.backend.Instance),
 	})
 	if a.resp == nil {
 		return a
 	}
-	read := d.Dialect.Read(in.header, a.resp)
+	read := d.Dialect.ReadResponse(in.header, a.resp)
 	switch {
 	case read.Refusal != nil:
 		// The rest is short, and read for the connection to be used again.
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -13,12 +13,12 @@
 // Dialect says how calls look outside the mesh: to callers and to backend
 // servers. Between nodes they always look the same.
 type Dialect interface {
-	// ID returns what a call is called in the logs of all nodes, or "".
-	ID(h http.Header) string
-	// Arrive returns how long the call may take, and sets in h what only this
+	// CallID returns what a call is called in the logs of all nodes, or "".
+	CallID(h http.Header) string
+	// AcceptCall returns how long the call may take, and sets in h what only this
 	// node may say of where the call came from. ok is false when the caller
 	// asked for something that is no time.
-	Arrive(h http.Header, t *config.Target) (left time.Duration, ok bool)
+	AcceptCall(h http.Header, t *config.Target) (left time.Duration, ok bool)
 	// TakeKey returns the caller's API key, or "". It removes what the caller says of its
 	// workspace, and the key itself if hide is set.
 	TakeKey(h http.Header, hide bool) string
@@ -26,15 +26,15 @@
 	SetWorkspace(h http.Header, name string)
 	// Workspace returns what SetWorkspace set, or "".
 	Workspace(h http.Header) string
-	// Attempt returns the headers that one attempt adds for the backend server.
+	// AttemptHeaders returns the headers that one attempt adds for the backend server.
 	// Left is rounded down, so that a hop never grants more than there is.
-	Attempt(left time.Duration, instance string) AttemptHeaders
-	// Read judges the beginning of a backend server's answer. Sent is the whole
+	AttemptHeaders(left time.Duration, instance string) AttemptHeaders
+	// ReadResponse judges the beginning of a backend server's answer. Sent is the whole
 	// header of the attempt, with what Attempt added.
-	Read(sent http.Header, resp *http.Response) Reading
-	// Refused returns the status that tells a caller of a refusal, and the
+	ReadResponse(sent http.Header, resp *http.Response) ResponseInfo
+	// RefusalStatus returns the status that tells a caller of a refusal, and the
 	// value of Retry-After, empty for none.
-	Refused(r *call.Refusal) (status int, retryAfter string)
+	RefusalStatus(r *call.Refusal) (status int, retryAfter string)
 }
 
 // AttemptHeaders are the headers that one attempt adds. Those without a name
@@ -44,8 +44,8 @@
 // Header is one header of a request.
 type Header struct{ Name, Value string }
 
-// Reading is what the beginning of a backend server's answer says.
-type Reading struct {
+// ResponseInfo is what the beginning of a backend server's answer says.
+type ResponseInfo struct {
 	// Refusal is set when the backend server said that it did not run the call.
 	Refusal *call.Refusal
 	// Err is set when the answer is not that of this attempt or cannot be
@@ -60,11 +60,11 @@
 // headerRequestID is how callers of marlpass itself may name a call.
 const headerRequestID = "X-Request-Id"
 
-// ID implements Dialect.
-func (ownDialect) ID(h http.Header) string { return first(h, headerRequestID) }
+// CallID implements Dialect.
+func (ownDialect) CallID(h http.Header) string { return first(h, headerRequestID) }
 
-// Arrive implements Dialect.
-func (ownDialect) Arrive(h http.Header, t *config.Target) (time.Duration, bool) {
+// AcceptCall implements Dialect.
+func (ownDialect) AcceptCall(h http.Header, t *config.Target) (time.Duration, bool) {
 	left, ok := timeLeft(h, t.Deadline())
 	if t.TimeoutMS > 0 {
 		left = min(left, t.Timeout())
@@ -104,22 +104,22 @@
 	return strings.TrimSpace(credentials)
 }
 
-// Attempt implements Dialect.
-func (ownDialect) Attempt(left time.Duration, _ string) AttemptHeaders {
+// AttemptHeaders implements Dialect.
+func (ownDialect) AttemptHeaders(left time.Duration, _ string) AttemptHeaders {
 	nonce, ms := attemptHeaders(left)
 	return AttemptHeaders{nonce, ms}
 }
 
-// Read implements Dialect.
-func (ownDialect) Read(sent http.Header, resp *http.Response) Reading {
-	return Reading{
+// ReadResponse implements Dialect.
+func (ownDialect) ReadResponse(sent http.Header, resp *http.Response) ResponseInfo {
+	return ResponseInfo{
 		Refusal: refusedByBackend(resp.Header, first(sent, call.HeaderAttempt)),
 		Load:    parseLoad(resp.Header),
 	}
 }
 
-// Refused implements Dialect.
-func (ownDialect) Refused(r *call.Refusal) (int, string) {
+// RefusalStatus implements Dialect.
+func (ownDialect) RefusalStatus(r *call.Refusal) (int, string) {
 	status := statusOf(r.Reason)
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		return status, retryAfterSeconds(r.RetryAfter)
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -12,15 +12,15 @@
 	"github.com/marlpass/marlpass/internal/retry"
 )
 
-// EntryParts are what an Entry is made of. Admitter and Suspects may be nil.
-type EntryParts struct {
-	Self     string // this node's VM
-	Programs Programs
-	Starting Starting // nil where the node is ready
-	Admitter Admitter
-	Pickers  Pickers
-	Retrier  Retrier
-	Suspects Suspects
+// EntryOptions are what an Entry is made of. Admitter and Suspects may be nil.
+type EntryOptions struct {
+	Self      string // this node's VM
+	Programs  Programs
+	Readiness Readiness // nil where the node is ready
+	Admitter  Admitter
+	Pickers   Pickers
+	Retrier   Retrier
+	Suspects  Suspects
 	// Workspaces bounds the calls of workspaces; nil bounds none.
 	Workspaces Workspaces
 	Local      *Destination // of this VM; nil sends every call over a socket
@@ -30,23 +30,23 @@
 	Dialect    Dialect // marlpass's own when nil
 	// Decisions takes a line for each decision that needs one; nil writes none.
 	Decisions *decisions.Log
-	// WaitOut gives every attempt all of the call's time, where an endpoint that
+	// NoAttemptTimeout gives every attempt all of the call's time, where an endpoint that
 	// is at work must not be given up. Connections that went silent are then
 	// found by the kernel's probes alone.
-	WaitOut bool
-	Now     func() time.Time // time.Now when nil
+	NoAttemptTimeout bool
+	Now              func() time.Time // time.Now when nil
 }
 
 // Entry takes calls from callers and sends them to destination nodes.
 type Entry struct {
-	EntryParts
+	EntryOptions
 	kept    keptBodies
 	returns returns
 	free    freeShares
 }
 
 // NewEntry returns an Entry.
-func NewEntry(p EntryParts) *Entry {
+func NewEntry(p EntryOptions) *Entry {
 	if p.Now == nil {
 		p.Now = time.Now
 	}
@@ -56,7 +56,7 @@
 	if p.Dialect == nil {
 		p.Dialect = ownDialect{}
 	}
-	return &Entry{EntryParts: p}
+	return &Entry{EntryOptions: p}
 }
 
 // Public returns the handler for callers outside the mesh.
@@ -112,9 +112,9 @@
 	defer c.free()
 	c.r, c.start = r, e.Now()
 	c.asked = c.start
-	c.id = e.Dialect.ID(r.Header)
-	if e.Starting != nil {
-		e.Starting.Await(r.Context())
+	c.id = e.Dialect.CallID(r.Header)
+	if e.Readiness != nil {
+		e.Readiness.Await(r.Context())
 	}
 	if refusal := e.match(c, internal); refusal != nil {
 		if refusal.Reason == call.ReasonTooLarge {
@@ -201,7 +201,7 @@
 			return refusal
 		}
 	}
-	left, ok := e.Dialect.Arrive(c.r.Header, t)
+	left, ok := e.Dialect.AcceptCall(c.r.Header, t)
 	if !ok {
 		return refuse(call.ReasonBadRequest, 0, "the deadline is not a number of milliseconds")
 	}
--- a/internal/proxy/entry_answer.go
+++ b/internal/proxy/entry_answer.go
@@ -105,7 +105,7 @@
 	case errors.Is(a.err, context.Canceled):
 		// The caller left, which says nothing of the endpoint. Counted as
 		// failures, impatient callers would have its healthy endpoints ejected.
-		r.Left = true
+		r.Cancelled = true
 	case a.err != nil:
 		r.Failed = true
 	default:
--- a/internal/proxy/entry_key.go
+++ b/internal/proxy/entry_key.go
@@ -9,14 +9,14 @@
 
 // Workspaces bounds the calls of workspaces.
 type Workspaces interface {
-	// Confirmed returns the refusal of a call with a key while this node can't tell whether
+	// CheckKeys returns the refusal of a call with a key while this node can't tell whether
 	// the keys that it holds are still given out, or nil.
-	Confirmed(now time.Time) *call.Refusal
+	CheckKeys(now time.Time) *call.Refusal
 	// Admit counts a call against its workspace's quota, or returns the refusal of a call over
 	// it.
 	Admit(now time.Time, w *config.Workspace) *call.Refusal
-	// GiveBack takes back what Admit counted for a call that was not run.
-	GiveBack(now time.Time, w *config.Workspace)
+	// Refund takes back what Admit counted for a call that was not run.
+	Refund(now time.Time, w *config.Workspace)
 }
 
 // authenticate finds the workspace of a call by its API key. Where the configuration has
@@ -42,7 +42,7 @@
 
 // admitWorkspace counts a call against its workspace's quota.
 func (e *Entry) admitWorkspace(c *entering, w *config.Workspace) *call.Refusal {
-	if refusal := e.Workspaces.Confirmed(c.start); refusal != nil {
+	if refusal := e.Workspaces.CheckKeys(c.start); refusal != nil {
 		return refusal
 	}
 	if refusal := e.Workspaces.Admit(c.start, w); refusal != nil {
@@ -55,7 +55,7 @@
 // giveBack takes a call that was not run off its workspace's quota.
 func (e *Entry) giveBack(c *entering) {
 	if c.workspace != nil {
-		e.Workspaces.GiveBack(e.Now(), c.workspace)
+		e.Workspaces.Refund(e.Now(), c.workspace)
 		c.workspace = nil
 	}
 }
--- a/internal/proxy/entry_pick.go
+++ b/internal/proxy/entry_pick.go
@@ -16,7 +16,7 @@
 var ErrTriedAll = errors.New("proxy: every endpoint was tried")
 
 func (e *Entry) pick(now time.Time, c *entering) (Choice, error) {
-	c.search.look = LookNot
+	c.search.look = NoSearch
 	if c.isolated {
 		return e.Pickers.PickFixed(now, c.target, c.fp.Key(), c.avoid(e.Suspects.CrashedAt(now, c.fp)))
 	}
@@ -26,7 +26,7 @@
 	if choice := e.lookUp(now, c); choice != nil {
 		return choice, nil
 	}
-	return e.Pickers.Pick(now, c.target, Ask{Tried: c.tried})
+	return e.Pickers.Pick(now, c.target, PickInfo{Tried: c.tried})
 }
 
 // avoid returns the endpoints that an isolated call must not or cannot run at.
--- a/internal/proxy/key_test.go
+++ b/internal/proxy/key_test.go
@@ -60,7 +60,7 @@
 	counted          int
 }
 
-func (q *quotas) Confirmed(time.Time) *call.Refusal { return q.confirmed }
+func (q *quotas) CheckKeys(time.Time) *call.Refusal { return q.confirmed }
 
 func (q *quotas) Admit(time.Time, *config.Workspace) *call.Refusal {
 	if q.admit == nil {
@@ -69,7 +69,7 @@
 	return q.admit
 }
 
-func (q *quotas) GiveBack(time.Time, *config.Workspace) { q.counted-- }
+func (q *quotas) Refund(time.Time, *config.Workspace) { q.counted-- }
 
 // Guards against a key that reaches a backend server, and against a caller that names its own
 // workspace.
--- a/internal/proxy/link_room_test.go
+++ b/internal/proxy/link_room_test.go
@@ -10,7 +10,7 @@
 // of them while other VMs have room.
 func TestLookGoesOnWhereTheLinkIsFull(t *testing.T) {
 	full := &answer{refusal: &call.Refusal{Reason: call.ReasonLinkFull}}
-	for look, want := range map[Look]bool{LookNear: true, LookFar: true, LookNot: false} {
+	for look, want := range map[SearchScope]bool{SearchDataCentre: true, SearchRegion: true, NoSearch: false} {
 		s := search{look: look}
 		if got := s.failed(full); got != want {
 			t.Errorf("look %v: got %v", look, got)
--- a/internal/proxy/look.go
+++ b/internal/proxy/look.go
@@ -42,41 +42,41 @@
 
 // search is one call's search for a free slot.
 type search struct {
-	looked []string // the endpoints that had none
-	far    int      // how many of them are in other data centres
-	look   Look     // the offer under way
+	looked []string    // the endpoints that had none
+	far    int         // how many of them are in other data centres
+	look   SearchScope // the offer under way
 }
 
 // first returns how the next offer looks for a free slot, at first.
-func (s *search) first(free *freeShare) Look {
+func (s *search) first(free *freeShare) SearchScope {
 	if free.load() < nearLeast {
-		return LookNot
+		return NoSearch
 	}
 	if len(s.looked)-s.far < looksNear {
-		return LookNear
+		return SearchDataCentre
 	}
-	return s.farther(LookNear, free)
+	return s.farther(SearchDataCentre, free)
 }
 
 // farther returns how it looks where the endpoints that look takes in were all looked at.
-func (s *search) farther(look Look, free *freeShare) Look {
-	if look == LookFar || s.far >= looksFar || free.load() < farLeast {
-		return LookNot
+func (s *search) farther(look SearchScope, free *freeShare) SearchScope {
+	if look == SearchRegion || s.far >= looksFar || free.load() < farLeast {
+		return NoSearch
 	}
-	return LookFar
+	return SearchRegion
 }
 
 // failed reports whether a look has found no room: no free slot, or none for a large answer
 // on the link of the endpoint's VM. A look asks nothing of an endpoint, so the next one is
 // asked as if nothing had been.
 func (s *search) failed(a *answer) bool {
-	return a.busy() || s.look != LookNot && a.refusal != nil && a.refusal.Reason == call.ReasonLinkFull
+	return a.busy() || s.look != NoSearch && a.refusal != nil && a.refusal.Reason == call.ReasonLinkFull
 }
 
 // missed notes that the endpoint looked at has no room.
 func (s *search) missed(endpoint string) {
 	s.looked = append(s.looked, endpoint)
-	if s.look == LookFar {
+	if s.look == SearchRegion {
 		s.far++
 	}
 }
@@ -98,8 +98,8 @@
 		return nil
 	}
 	free := e.free.of(c.target.Service)
-	for look := c.search.first(free); look != LookNot; look = c.search.farther(look, free) {
-		choice, err := e.Pickers.Pick(now, c.target, Ask{Tried: c.search.looked, Look: look})
+	for look := c.search.first(free); look != NoSearch; look = c.search.farther(look, free) {
+		choice, err := e.Pickers.Pick(now, c.target, PickInfo{Tried: c.search.looked, Scope: look})
 		if err == nil {
 			c.search.look = look
 			return choice
@@ -135,9 +135,9 @@
 	return s.(*freeShare)
 }
 
-// FreeShares calls visit with how often an endpoint of each service that was offered a
+// FreeSlotShares calls visit with how often an endpoint of each service that was offered a
 // call had a free slot lately, 0 to 1.
-func (e *Entry) FreeShares(visit func(service string, share float64)) {
+func (e *Entry) FreeSlotShares(visit func(service string, share float64)) {
 	e.free.byService.Range(func(service, s any) bool {
 		visit(service.(string), s.(*freeShare).load())
 		return true
--- a/internal/proxy/look_model_test.go
+++ b/internal/proxy/look_model_test.go
@@ -137,8 +137,8 @@
 func (m *model) pick(now time.Time, c *modelCall) (route.Choice, bool) {
 	n := c.from
 	if m.looks && len(c.tried) == 0 {
-		for look := c.search.first(&n.free); look != LookNot; look = c.search.farther(look, &n.free) {
-			if choice, err := n.picker.PickFreeSlot(now, look == LookNear, c.search.looked); err == nil {
+		for look := c.search.first(&n.free); look != NoSearch; look = c.search.farther(look, &n.free) {
+			if choice, err := n.picker.PickFreeSlot(now, look == SearchDataCentre, c.search.looked); err == nil {
 				c.search.look = look
 				return choice, false
 			}
--- a/internal/proxy/look_test.go
+++ b/internal/proxy/look_test.go
@@ -16,8 +16,8 @@
 // lookingPicks picks in turn, also for calls that look.
 type lookingPicks struct{ *RoundRobin }
 
-func (p lookingPicks) Pick(now time.Time, t *config.Target, a Ask) (Choice, error) {
-	return p.RoundRobin.Pick(now, t, Ask{Tried: a.Tried})
+func (p lookingPicks) Pick(now time.Time, t *config.Target, a PickInfo) (Choice, error) {
+	return p.RoundRobin.Pick(now, t, PickInfo{Tried: a.Tried})
 }
 
 // fullGate has no free slot for calls that are not to wait, and one for the others.
--- a/internal/proxy/notrun.go
+++ b/internal/proxy/notrun.go
@@ -131,7 +131,7 @@
 	default:
 		h[headerDetail] = []string{r.Detail}
 	}
-	status, _ := ownDialect{}.Refused(r)
+	status, _ := ownDialect{}.RefusalStatus(r)
 	w.WriteHeader(status)
 }
 
@@ -142,7 +142,7 @@
 	if r.Detail == detailDeep {
 		h.Set(headerDeep, "1")
 	}
-	status, after := d.Refused(r)
+	status, after := d.RefusalStatus(r)
 	if after != "" {
 		h.Set("Retry-After", after)
 	}
--- a/internal/proxy/pinned_test.go
+++ b/internal/proxy/pinned_test.go
@@ -36,15 +36,15 @@
 // node's picker does.
 type anyEndpoint struct{ *RoundRobin }
 
-func (p anyEndpoint) Pick(now time.Time, t *config.Target, a Ask) (Choice, error) {
+func (p anyEndpoint) Pick(now time.Time, t *config.Target, a PickInfo) (Choice, error) {
 	if c, err := p.RoundRobin.Pick(now, t, a); err == nil {
 		return c, nil
 	}
-	return p.RoundRobin.Pick(now, t, Ask{})
+	return p.RoundRobin.Pick(now, t, PickInfo{})
 }
 
 func (p anyEndpoint) PickFixed(now time.Time, t *config.Target, _ uint64, _ []string) (Choice, error) {
-	return p.Pick(now, t, Ask{})
+	return p.Pick(now, t, PickInfo{})
 }
 
 // A booking crashed a backend server. An entry node that has not heard of it
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -35,8 +35,8 @@
 // Programs gives the program in force. It is called once for each call.
 type Programs interface{ Program() *Program }
 
-// Starting holds calls back for a moment while their node starts.
-type Starting interface {
+// Readiness holds calls back for a moment while their node starts.
+type Readiness interface {
 	// Await returns once the node takes calls, when waiting for that is not worth it any
 	// more, or when ctx ends.
 	Await(ctx context.Context)
@@ -69,11 +69,11 @@
 	// cut answer, or none.
 	Failed bool
 	// Left says that the caller left before there was an answer.
-	Left    bool
-	Refused call.Reason // why it was not run, or empty
-	Latency time.Duration
-	Load    Load
-	Bytes   int64 // of the answer's body, if it came whole
+	Cancelled bool
+	Refused   call.Reason // why it was not run, or empty
+	Latency   time.Duration
+	Load      Load
+	Bytes     int64 // of the answer's body, if it came whole
 	// LinkWait is how long large answers wait for the endpoint's link.
 	LinkWait time.Duration
 }
@@ -85,28 +85,28 @@
 	Done(now time.Time, r Report)
 }
 
-// Look says which endpoints a call looks at for a free slot.
-type Look uint8
+// SearchScope says which endpoints a call looks at for a free slot.
+type SearchScope uint8
 
 // The ways to look.
 const (
-	LookNot  Look = iota // the call may wait at the endpoint
-	LookNear             // at those of the own data centre
-	LookFar              // at those of the region's others
+	NoSearch         SearchScope = iota // the call may wait at the endpoint
+	SearchDataCentre                    // at those of the own data centre
+	SearchRegion                        // at those of the region's others
 )
 
-// Ask says what a pick is for.
-type Ask struct {
+// PickInfo says what a pick is for.
+type PickInfo struct {
 	// Tried are the IDs of endpoints that have had the call already. They come last,
 	// or not at all when only they are left.
 	Tried []string
-	Look  Look
+	Scope SearchScope
 }
 
-// Pickers picks endpoints. When only those of Ask.Tried are left, it gives one of
+// Pickers picks endpoints. When only those of PickInfo.Tried are left, it gives one of
 // them or the error ErrTriedAll, and to a call that looks always an error.
 type Pickers interface {
-	Pick(now time.Time, t *config.Target, a Ask) (Choice, error)
+	Pick(now time.Time, t *config.Target, a PickInfo) (Choice, error)
 	// PickFixed picks by key alone, so that every node picks the same. The
 	// endpoints in avoid are left out as long as there are others.
 	PickFixed(now time.Time, t *config.Target, key uint64, avoid []string) (Choice, error)
@@ -202,10 +202,10 @@
 // answer is lost.
 var ErrOutcomeUnknown error = outcomeUnknownError{}
 
-// Keeper keeps keyed calls from running twice. Begin returns a claim to run
+// Deduplicator keeps keyed calls from running twice. Begin returns a claim to run
 // the call, or the stored answer of an earlier one, or an error: a
 // *call.Refusal, ErrOutcomeUnknown, or that of ctx.
-type Keeper interface {
+type Deduplicator interface {
 	Begin(ctx context.Context, k KeyedCall) (Claim, *Stored, error)
 }
 
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -80,7 +80,7 @@
 	t.Cleanup(m.backend.Close)
 	addr := strings.TrimPrefix(m.backend.URL, "http://")
 	for i := range m.dest {
-		ups := NewUpstreams(SlowProbing)
+		ups := NewUpstreams(SlowDetection)
 		t.Cleanup(ups.Close)
 		m.dest[i] = NewDestination(DestinationParts{
 			Programs: one{target}, Upstreams: ups, Gates: new(FixedLimit),
@@ -92,9 +92,9 @@
 			Instance: "a", Addr: strings.TrimPrefix(s.URL, "http://")})
 	}
 	m.useAll()
-	ups := NewUpstreams(SlowProbing)
+	ups := NewUpstreams(SlowDetection)
 	t.Cleanup(ups.Close)
-	m.entry = NewEntry(EntryParts{
+	m.entry = NewEntry(EntryOptions{
 		Self: "vm9", Programs: one{target}, Pickers: m.picks, Retrier: RetryUpTo(3), Upstreams: ups,
 	})
 	m.public = httptest.NewServer(m.entry.Public())
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -22,7 +22,7 @@
 	}
 	h := hop{
 		left: e.patience(c, now), class: c.target.Name, service: c.target.Service, instance: ep.Instance,
-		waited: now.Sub(c.asked), once: e.returns.never(c.target.Name), noWait: c.search.look != LookNot,
+		waited: now.Sub(c.asked), once: e.returns.never(c.target.Name), noWait: c.search.look != NoSearch,
 	}
 	if h.left <= 0 {
 		return answer{refusal: refuse(call.ReasonExpired, 0, "")}
@@ -82,7 +82,7 @@
 // work is lost, done again elsewhere, and the endpoint counted as failing.
 func (e *Entry) patience(c *entering, now time.Time) time.Duration {
 	left := c.deadline.Sub(now)
-	if e.WaitOut {
+	if e.NoAttemptTimeout {
 		return left
 	}
 	if c.target.Idempotent && c.n == 1 && c.body.reusable() {
--- a/internal/proxy/silent_test.go
+++ b/internal/proxy/silent_test.go
@@ -118,7 +118,7 @@
 	s.Listener = f
 	s.Start()
 	t.Cleanup(s.Close)
-	ups := NewUpstreams(SlowProbing)
+	ups := NewUpstreams(SlowDetection)
 	t.Cleanup(ups.Close)
 	path := "/warm"
 	send = func(ctx context.Context, wait time.Duration) answer {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -10,20 +10,20 @@
 )
 
 // Bounds on connections. The idle bound is shorter than the one of a node's
-// own server (see ServerIdle), so that a connection is seldom closed by the
+// own server (see ServerIdleTimeout), so that a connection is seldom closed by the
 // far end in the moment it is used.
 const (
-	DialBound       = time.Second
-	IdleBound       = 30 * time.Second
-	ServerIdle      = 2 * time.Minute
-	maxIdlePerAddr  = 64
-	upstreamUnused  = 10 * time.Minute
-	keepAliveIdle   = 15 * time.Second
-	keepAliveEvery  = 3 * time.Second
-	keepAliveCount  = 3
-	unackedBound    = 10 * time.Second
-	maxHeaderBytes  = 64 << 10
-	transportBuffer = 8 << 10
+	DialTimeout       = time.Second
+	IdleTimeout       = 30 * time.Second
+	ServerIdleTimeout = 2 * time.Minute
+	maxIdlePerAddr    = 64
+	upstreamUnused    = 10 * time.Minute
+	keepAliveIdle     = 15 * time.Second
+	keepAliveEvery    = 3 * time.Second
+	keepAliveCount    = 3
+	unackedBound      = 10 * time.Second
+	maxHeaderBytes    = 64 << 10
+	transportBuffer   = 8 << 10
 )
 
 // expectContinue bounds the wait of a streaming body for the destination's word, in
@@ -42,16 +42,16 @@
 	mu     sync.Mutex // serialises writers
 	byName sync.Map   // string to *upstream
 	// secure is nil for plain connections.
-	secure Secure
-	dial   func(ctx context.Context, network, addr string) (net.Conn, error)
-	kept   time.Duration // how long an idle connection is kept
+	handshake Handshake
+	dial      func(ctx context.Context, network, addr string) (net.Conn, error)
+	kept      time.Duration // how long an idle connection is kept
 	// dialBound is how long a new connection may take.
 	dialBound time.Duration
 }
 
-// Secure turns a new connection into one on which vm itself has been proved to
+// Handshake turns a new connection into one on which vm itself has been proved to
 // answer. It returns an error, and has sent no byte of a call, otherwise.
-type Secure func(ctx context.Context, raw net.Conn, vm string) (net.Conn, error)
+type Handshake func(ctx context.Context, raw net.Conn, vm string) (net.Conn, error)
 
 // upstream is the pool of one node or address.
 type upstream struct {
@@ -61,24 +61,24 @@
 	used atomic.Int64
 }
 
-// Probing says how the kernel finds out that the far end of a connection is gone.
-type Probing struct {
-	Idle, Every time.Duration // before the first probe, and between probes
-	Count       int           // probes without an answer that end the connection
-	Unacked     time.Duration // bytes without an acknowledgement that end it
-	Kept        time.Duration // how long an idle connection is kept
-	Dial        time.Duration // until a new connection stands
+// ConnTimeouts says how the kernel finds out that the far end of a connection is gone.
+type ConnTimeouts struct {
+	KeepAliveIdle, KeepAliveInterval time.Duration // before the first probe, and between probes
+	KeepAliveCount                   int           // probes without an answer that end the connection
+	UnackedTimeout                   time.Duration // bytes without an acknowledgement that end it
+	IdleTimeout                      time.Duration // how long an idle connection is kept
+	DialTimeout                      time.Duration // until a new connection stands
 }
 
-// SlowProbing is for meshes whose calls are also given up when an answer takes
-// too long; SwiftProbing where nothing else ends an attempt on a connection that
+// SlowDetection is for meshes whose calls are also given up when an answer takes
+// too long; FastDetection where nothing else ends an attempt on a connection that
 // went silent. The kernel counts keep-alive in whole seconds; swift probing ends a
 // connection within 2 s, and survives a lost packet.
 var (
-	SlowProbing = Probing{
-		Idle: keepAliveIdle, Every: keepAliveEvery, Count: keepAliveCount, Unacked: unackedBound, Kept: IdleBound, Dial: DialBound,
+	SlowDetection = ConnTimeouts{
+		KeepAliveIdle: keepAliveIdle, KeepAliveInterval: keepAliveEvery, KeepAliveCount: keepAliveCount, UnackedTimeout: unackedBound, IdleTimeout: IdleTimeout, DialTimeout: DialTimeout,
 	}
-	SwiftProbing = Probing{Idle: time.Second, Every: time.Second, Count: 2, Unacked: 1500 * time.Millisecond, Kept: swiftKept, Dial: swiftDial}
+	FastDetection = ConnTimeouts{KeepAliveIdle: time.Second, KeepAliveInterval: time.Second, KeepAliveCount: 2, UnackedTimeout: 1500 * time.Millisecond, IdleTimeout: swiftKept, DialTimeout: swiftDial}
 )
 
 // swiftDial is some hundred times the way between two data centres of one region.
@@ -92,22 +92,22 @@
 const swiftKept = 5 * time.Second
 
 // NewUpstreams returns empty pools. They open connections over TCP.
-func NewUpstreams(p Probing) *Upstreams {
-	u := NewUpstreamsBy(p.dialer().DialContext)
-	u.kept, u.dialBound = p.Kept, p.Dial
+func NewUpstreams(p ConnTimeouts) *Upstreams {
+	u := NewUpstreamsWithDialer(p.dialer().DialContext)
+	u.kept, u.dialBound = p.IdleTimeout, p.DialTimeout
 	return u
 }
 
-func (p Probing) dialer() *net.Dialer {
+func (p ConnTimeouts) dialer() *net.Dialer {
 	return &net.Dialer{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: p.Idle, Interval: p.Every, Count: p.Count},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: p.KeepAliveIdle, Interval: p.KeepAliveInterval, Count: p.KeepAliveCount},
 		Control:         p.boundUnacked,
 	}
 }
 
-// NewUpstreamsBy returns empty pools that open connections by dial.
-func NewUpstreamsBy(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Upstreams {
-	u := &Upstreams{kept: IdleBound, dialBound: DialBound}
+// NewUpstreamsWithDialer returns empty pools that open connections by dial.
+func NewUpstreamsWithDialer(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Upstreams {
+	u := &Upstreams{kept: IdleTimeout, dialBound: DialTimeout}
 	u.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, u.dialBound)
 		defer cancel()
@@ -116,10 +116,10 @@
 	return u
 }
 
-// Secured makes u ask s for every connection to another node. It must be called
+// WithHandshake makes u ask s for every connection to another node. It must be called
 // before u is used.
-func (u *Upstreams) Secured(s Secure) *Upstreams {
-	u.secure = s
+func (u *Upstreams) WithHandshake(s Handshake) *Upstreams {
+	u.handshake = s
 	return u
 }
 
@@ -212,12 +212,12 @@
 	if err != nil {
 		return nil, err
 	}
-	if u.secure == nil || vm == "" {
+	if u.handshake == nil || vm == "" {
 		return &conn{Conn: raw}, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, DialBound)
+	ctx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
-	c, err := u.secure(ctx, raw, vm)
+	c, err := u.handshake(ctx, raw, vm)
 	if err != nil {
 		raw.Close()
 		return nil, err
