--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -17,7 +17,7 @@
 // Errors of an attempt that may have run.
 var (
 	// errWaited means that no answer began within the bound.
-	errWaited = errors.New("proxy: no answer within the bound")
+	errAnswerTimeout = errors.New("proxy: no answer within the bound")
 	// errStalled means that an answer stopped in its middle.
 	errStalled = errors.New("proxy: the answer stopped")
 )
@@ -31,18 +31,18 @@
 	// answer is the body of the answer, once it has begun.
 	answer answerBody
 
-	mu     sync.Mutex // guards what follows
-	up     *upstream
-	body   *streamBody // nil when the body does not stream
-	conn   *conn
-	ticket uint64
-	replay bool
-	waited bool
-	over   bool
+	mu         sync.Mutex // guards what follows
+	up         *upstream
+	body       *streamBody // nil when the body does not stream
+	conn       *conn
+	generation uint64
+	replay     bool
+	timedOut   bool
+	finished   bool
 }
 
 var attempts = sync.Pool{New: func() any {
-	a := &attempt{over: true}
+	a := &attempt{finished: true}
 	a.trace.GotConn = a.gotConn
 	a.timer = time.AfterFunc(time.Hour, a.expire)
 	a.timer.Stop()
@@ -55,10 +55,10 @@
 	a := attempts.Get().(*attempt)
 	a.mu.Lock()
 	a.up, a.body = up, b
-	a.conn, a.ticket = nil, 0
-	a.replay, a.waited, a.over = false, false, false
+	a.conn, a.generation = nil, 0
+	a.replay, a.timedOut, a.finished = false, false, false
 	// Or finish would take the timer for stopped after expire has begun.
-	a.answer.idle = false
+	a.answer.timerStopped = false
 	a.mu.Unlock()
 	a.timer.Reset(wait)
 	return a
@@ -68,8 +68,8 @@
 func (a *attempt) finish() {
 	stopped := a.timer.Stop()
 	a.mu.Lock()
-	stopped = stopped || a.answer.idle
-	a.over = true
+	stopped = stopped || a.answer.timerStopped
+	a.finished = true
 	a.answer.ReadCloser = nil
 	a.mu.Unlock()
 	if stopped {
@@ -97,24 +97,24 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	ticket := c.begin(a.body)
-	if a.conn != nil && !a.conn.bar(a.ticket) {
+	ticket := c.assign(a.body)
+	if a.conn != nil && !a.conn.blockWrites(a.generation) {
 		a.replay = true
 		c.replay.Store(true)
-		c.bar(ticket)
+		c.blockWrites(ticket)
 		return
 	}
-	a.conn, a.ticket = c, ticket
-	if a.waited {
-		c.kill(ticket)
+	a.conn, a.generation = c, ticket
+	if a.timedOut {
+		c.closeFor(ticket)
 	}
 }
 
 // barConn reports whether no byte of the attempt was written or ever will be.
-func (a *attempt) barConn() bool {
+func (a *attempt) blockWrites() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return !a.replay && (a.conn == nil || a.conn.bar(a.ticket))
+	return !a.replay && (a.conn == nil || a.conn.blockWrites(a.generation))
 }
 
 // expire ends the attempt when its bound has passed: it closes the connection,
@@ -123,14 +123,14 @@
 func (a *attempt) expire() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.over {
+	if a.finished {
 		return
 	}
-	a.waited = true
+	a.timedOut = true
 	if a.conn != nil {
-		a.conn.kill(a.ticket)
+		a.conn.closeFor(a.generation)
 	}
-	a.up.retire()
+	a.up.closeIdle()
 }
 
 // deadlineSkew is how much earlier than at this node a call may end at the node before. Each
@@ -144,22 +144,22 @@
 //
 // Without it a backend server whose connections were forgotten keeps the other ones in its
 // pool whenever the entry node gives up first, and each next call waits out a whole deadline.
-func (a *attempt) givenUp(bound time.Time) {
+func (a *attempt) cancelled(bound time.Time) {
 	if time.Until(bound) > deadlineSkew {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.up.retire()
+	a.up.closeIdle()
 }
 
 // kill closes the connection of an attempt whose answer has begun, so that no
 // later call reads what is still on its way there.
-func (a *attempt) kill() {
+func (a *attempt) closeConn() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.conn != nil {
-		a.conn.kill(a.ticket)
+		a.conn.closeFor(a.generation)
 	}
 }
 
@@ -167,24 +167,24 @@
 func (a *attempt) expired() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.waited
+	return a.timedOut
 }
 
 // outbound is a request to be sent on.
 type outbound struct {
-	in     *http.Request // gives method, URL and the rest
-	header http.Header
-	body   *body
-	addr   string
-	vm     string        // the node at addr, or empty for a backend server
-	wait   time.Duration // bound on the answer's beginning
-	stall  time.Duration // bound between two parts of the answer
-	extra  AttemptHeaders
+	in            *http.Request // gives method, URL and the rest
+	header        http.Header
+	body          *body
+	addr          string
+	vm            string        // the node at addr, or empty for a backend server
+	answerTimeout time.Duration // bound on the answer's beginning
+	stallTimeout  time.Duration // bound between two parts of the answer
+	extra         AttemptHeaders
 }
 
 // sending is what the transport is given of one attempt, and may read for as
 // long as it likes. It is one allocation, and not used again.
-type sending struct {
+type transportRequest struct {
 	attemptContext
 	url    url.URL
 	values [len(outbound{}.extra)][1]string
@@ -209,9 +209,9 @@
 }
 
 // kill ends an answer that must not be passed on, and its connection.
-func (a *answer) kill() {
+func (a *answer) abort() {
 	if b, ok := a.resp.Body.(*answerBody); ok {
-		b.attempt.kill()
+		b.attempt.closeConn()
 	}
 	a.resp.Body.Close()
 }
@@ -238,7 +238,7 @@
 // An attempt that waited in vain, or whose caller left, says nothing of that
 // kind. Taking it for a crash would hold back innocent requests at their entry
 // node whenever connections go silent or callers are impatient.
-func (a *answer) broke() bool {
+func (a *answer) connBroke() bool {
 	return a.err != nil && !a.expired && kindOf(a.err) == unknownLost && !errors.Is(a.err, context.Canceled)
 }
 
@@ -246,28 +246,28 @@
 // closed, once.
 func (u *Upstreams) send(ctx context.Context, now time.Time, o *outbound) answer {
 	up := u.get(now, o.addr, o.vm)
-	a := newAttempt(up, o.body.stream, o.wait)
-	resp, err := up.transport.RoundTrip(o.request(&sending{
-		attemptContext: attemptContext{Context: ctx, trace: &a.trace, dialBy: now.Add(o.wait)},
+	a := newAttempt(up, o.body.stream, o.answerTimeout)
+	resp, err := up.transport.RoundTrip(o.request(&transportRequest{
+		attemptContext: attemptContext{Context: ctx, trace: &a.trace, dialDeadline: now.Add(o.answerTimeout)},
 	}))
 	if err == nil && a.timer.Stop() {
-		a.answer.ReadCloser, a.answer.idle, a.answer.stall = resp.Body, true, o.stall
+		a.answer.ReadCloser, a.answer.timerStopped, a.answer.stallTimeout = resp.Body, true, o.stallTimeout
 		resp.Body = &a.answer
 		return answer{resp: resp}
 	}
 	if err == nil {
 		// The bound passed in the moment the answer began.
-		err = errWaited
+		err = errAnswerTimeout
 		resp.Body.Close()
 	}
 	if errors.Is(err, context.Canceled) {
-		a.givenUp(now.Add(o.wait))
+		a.cancelled(now.Add(o.answerTimeout))
 	}
 	return a.failed(err)
 }
 
 // request builds the request for the transport.
-func (o *outbound) request(s *sending) *http.Request {
+func (o *outbound) request(s *transportRequest) *http.Request {
 	out := o.in.WithContext(&s.attemptContext)
 	s.url = url.URL{
 		Scheme: "http", Host: o.addr,
@@ -294,14 +294,14 @@
 func (a *attempt) failed(err error) answer {
 	refusal := a.unsent()
 	a.mu.Lock()
-	waited, replay := a.waited, a.replay
+	waited, replay := a.timedOut, a.replay
 	a.mu.Unlock()
 	a.finish()
 	switch {
 	case refusal != nil:
 		return answer{refusal: refusal, expired: waited}
 	case waited:
-		err = errWaited
+		err = errAnswerTimeout
 	case replay:
 		err = errReplay
 	}
@@ -312,35 +312,35 @@
 // class, and ends its attempt when it is closed.
 type answerBody struct {
 	io.ReadCloser
-	attempt *attempt
-	idle    bool // the timer is stopped
-	stall   time.Duration
+	attempt      *attempt
+	timerStopped bool // the timer is stopped
+	stallTimeout time.Duration
 }
 
 // Bounds on how long a body may stand still. The least lets a lost packet be
 // sent again.
 const (
-	stallMost  = 30 * time.Second
-	stallLeast = time.Second
+	maxStallTimeout = 30 * time.Second
+	minStallTimeout = time.Second
 )
 
 // stallOf returns how long a body of the class may stand still: no longer than
 // its caller would wait for the whole call, and half of that if the call is
 // idempotent, so that its caller is left time to send it again.
-func stallOf(t *config.Target) time.Duration {
+func stallTimeoutOf(t *config.Target) time.Duration {
 	d := t.Deadline()
 	if t.Idempotent {
 		d /= 2
 	}
-	return min(max(d, stallLeast), stallMost)
+	return min(max(d, minStallTimeout), maxStallTimeout)
 }
 
 // Read reads the next part, within the bound.
 func (b *answerBody) Read(p []byte) (int, error) {
-	b.idle = false
-	b.attempt.timer.Reset(b.stall)
+	b.timerStopped = false
+	b.attempt.timer.Reset(b.stallTimeout)
 	n, err := b.ReadCloser.Read(p)
-	b.idle = b.attempt.timer.Stop()
+	b.timerStopped = b.attempt.timer.Stop()
 	if err != nil && err != io.EOF && b.attempt.expired() {
 		err = errStalled
 	}
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -15,10 +15,10 @@
 	for range 100 {
 		answered := newAttempt(up, nil, time.Hour)
 		answered.timer.Stop()
-		answered.answer.idle = true // as send and Read leave it
+		answered.answer.timerStopped = true // as send and Read leave it
 		answered.finish()
 		a := newAttempt(up, nil, time.Hour)
-		if a.answer.idle {
+		if a.answer.timerStopped {
 			t.Fatal("a new attempt counts as one whose timer was stopped")
 		}
 		a.timer.Stop()
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -35,7 +35,7 @@
 			b := body{length: 5, stream: newStreamBody(w, r, 0)}
 			b.stream.Read(make([]byte, 1))
 			c := &conn{Conn: new(sink)}
-			c.begin(b.stream)
+			c.assign(b.stream)
 			want := 1
 			if over {
 				b.release()
@@ -58,8 +58,8 @@
 	r := httptest.NewRequest("POST", "/", strings.NewReader("photo"))
 	b := newStreamBody(w, r, 0)
 	refused, next := &conn{Conn: new(sink)}, &conn{Conn: new(sink)}
-	refused.begin(b)
-	next.begin(b)
+	refused.assign(b)
+	next.assign(b)
 	b.Read(make([]byte, 1))
 	refused.Close()
 	if w.set != 0 {
@@ -82,7 +82,7 @@
 	r := httptest.NewRequest("POST", "/", cutReader{})
 	b := newStreamBody(&deadlines{ResponseRecorder: httptest.NewRecorder()}, r, 0)
 	c := &conn{Conn: new(sink)}
-	c.begin(b)
+	c.assign(b)
 	b.touched.Store(true)
 	c.Close()
 	if _, err := b.Read(make([]byte, 1)); !errors.Is(err, errBodyCut) {
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -8,19 +8,19 @@
 
 // Errors of writes to a connection that may not be written to.
 var (
-	errBarred = errors.New("proxy: the connection is closed to this request")
-	errReplay = errors.New("proxy: the connection broke after the request was sent")
+	errWritesBlocked = errors.New("proxy: the connection is closed to this request")
+	errReplay        = errors.New("proxy: the connection broke after the request was sent")
 )
 
 // State of a connection with regard to the call that holds it, in the lowest
 // bits of conn.word. The rest of the word counts the calls that held it.
 const (
-	connClean   uint64 = iota // nothing of the call was written
-	connWritten               // something was, or is being, written
-	connBarred                // nothing was, and nothing may be written any more
-	connDead                  // something was; the connection is closed
-	connState   uint64 = 3
-	connNext    uint64 = 4
+	connClean      uint64 = iota // nothing of the call was written
+	connWritten                  // something was, or is being, written
+	connBlocked                  // nothing was, and nothing may be written any more
+	connDead                     // something was; the connection is closed
+	connStateMask  uint64 = 3
+	connGeneration uint64 = 4
 )
 
 // conn is a connection to another node or to a backend server that knows
@@ -34,8 +34,8 @@
 // described at attempt.gotConn.
 type conn struct {
 	net.Conn
-	raw  net.Conn // the socket below Conn if that is encrypted, else nil
-	word atomic.Uint64
+	raw   net.Conn // the socket below Conn if that is encrypted, else nil
+	state atomic.Uint64
 	// body is the streaming body of the call that holds the connection.
 	body atomic.Pointer[streamBody]
 	// replay says that a request that may have run was led onto this
@@ -68,12 +68,12 @@
 // Write marks the call as possibly run before its first byte leaves.
 func (c *conn) Write(p []byte) (int, error) {
 	for {
-		w := c.word.Load()
-		switch w & connState {
-		case connBarred, connDead:
+		w := c.state.Load()
+		switch w & connStateMask {
+		case connBlocked, connDead:
 			return c.refuseWrite()
 		case connClean:
-			if !c.word.CompareAndSwap(w, w|connWritten) {
+			if !c.state.CompareAndSwap(w, w|connWritten) {
 				continue
 			}
 		}
@@ -89,26 +89,26 @@
 	if c.replay.Load() {
 		return 1, errReplay
 	}
-	return 0, errBarred
+	return 0, errWritesBlocked
 }
 
 // begin hands the connection to a call and returns the call's ticket, which is
 // the word of the clean connection. The
 // transport gives a connection to one call at a time, and only when all of the
 // call before is written.
-func (c *conn) begin(b *streamBody) uint64 {
+func (c *conn) assign(b *streamBody) uint64 {
 	c.body.Store(b)
 	if b != nil {
 		b.sendOn(c)
 	}
 	for {
-		w := c.word.Load()
-		next := w&^connState + connNext
+		w := c.state.Load()
+		next := w&^connStateMask + connGeneration
 		state := connClean
-		if s := w & connState; s == connBarred || s == connDead {
-			state = connBarred
+		if s := w & connStateMask; s == connBlocked || s == connDead {
+			state = connBlocked
 		}
-		if c.word.CompareAndSwap(w, next|state) {
+		if c.state.CompareAndSwap(w, next|state) {
 			return next
 		}
 	}
@@ -116,15 +116,15 @@
 
 // bar reports whether nothing was written for the call with that ticket, and
 // if so makes sure that nothing ever is.
-func (c *conn) bar(ticket uint64) bool {
-	return c.word.CompareAndSwap(ticket, ticket|connBarred) ||
-		c.word.Load() == ticket|connBarred
+func (c *conn) blockWrites(ticket uint64) bool {
+	return c.state.CompareAndSwap(ticket, ticket|connBlocked) ||
+		c.state.Load() == ticket|connBlocked
 }
 
 // kill closes the connection if the call with that ticket still holds it. A
 // call that takes it in the same moment finds it barred, and can go elsewhere.
-func (c *conn) kill(ticket uint64) {
-	if c.word.CompareAndSwap(ticket|connWritten, ticket|connDead) || c.bar(ticket) {
+func (c *conn) closeFor(ticket uint64) {
+	if c.state.CompareAndSwap(ticket|connWritten, ticket|connDead) || c.blockWrites(ticket) {
 		_ = c.Close()
 	}
 }
--- a/internal/proxy/conn_test.go
+++ b/internal/proxy/conn_test.go
@@ -33,10 +33,10 @@
 	for range 2000 {
 		s := new(sink)
 		c := &conn{Conn: s}
-		ticket := c.begin(nil)
+		ticket := c.assign(nil)
 		var barred bool
 		var wg sync.WaitGroup
-		wg.Go(func() { barred = c.bar(ticket) })
+		wg.Go(func() { barred = c.blockWrites(ticket) })
 		wg.Go(func() { c.Write([]byte("request")) })
 		wg.Wait()
 		c.Write([]byte("more"))
@@ -56,11 +56,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := new(sink)
 		c := &conn{Conn: s}
-		tickets := []uint64{c.begin(nil)}
+		tickets := []uint64{c.assign(nil)}
 		written := map[uint64]bool{}
 		said := map[uint64]bool{}
 		t.Repeat(map[string]func(*rapid.T){
-			"begin": func(*rapid.T) { tickets = append(tickets, c.begin(nil)) },
+			"begin": func(*rapid.T) { tickets = append(tickets, c.assign(nil)) },
 			"write": func(*rapid.T) {
 				if _, err := c.Write([]byte("x")); err == nil {
 					written[tickets[len(tickets)-1]] = true
@@ -68,7 +68,7 @@
 			},
 			"bar": func(t *rapid.T) {
 				ticket := rapid.SampledFrom(tickets).Draw(t, "ticket")
-				if c.bar(ticket) {
+				if c.blockWrites(ticket) {
 					said[ticket] = true
 				}
 			},
@@ -76,7 +76,7 @@
 				ticket := rapid.SampledFrom(tickets).Draw(t, "ticket")
 				current := ticket == tickets[len(tickets)-1]
 				before := s.closed.Load()
-				c.kill(ticket)
+				c.closeFor(ticket)
 				if !current && !before && s.closed.Load() {
 					t.Fatal("an old ticket closed the connection")
 				}
--- a/internal/proxy/context.go
+++ b/internal/proxy/context.go
@@ -11,8 +11,8 @@
 // one allocation in place of one for each value.
 type attemptContext struct {
 	context.Context
-	trace  *httptrace.ClientTrace
-	dialBy time.Time
+	trace        *httptrace.ClientTrace
+	dialDeadline time.Time
 }
 
 // attemptKey is the key under which an attemptContext finds itself.
@@ -32,31 +32,31 @@
 // dialBy returns the moment by which the connection of an attempt must stand.
 // The transport dials with a context that keeps the values of the attempt's,
 // but not its cancellation.
-func dialBy(ctx context.Context) (time.Time, bool) {
+func dialDeadline(ctx context.Context) (time.Time, bool) {
 	c, ok := ctx.Value(attemptKey{}).(*attemptContext)
 	if !ok {
 		return time.Time{}, false
 	}
-	return c.dialBy, true
+	return c.dialDeadline, true
 }
 
 // traceKey is the key under which httptrace looks for its hooks.
 var traceKey = findTraceKey()
 
 // keySpy notes the key that it is asked for.
-type keySpy struct {
+type keyRecorder struct {
 	context.Context
 	key any
 }
 
 // Value notes key.
-func (s *keySpy) Value(key any) any {
+func (s *keyRecorder) Value(key any) any {
 	s.key = key
 	return nil
 }
 
 func findTraceKey() any {
-	s := &keySpy{Context: context.Background()}
+	s := &keyRecorder{Context: context.Background()}
 	httptrace.ContextClientTrace(s)
 	return s.key
 }
--- a/internal/proxy/destination.go
+++ b/internal/proxy/destination.go
@@ -83,11 +83,11 @@
 	retried := r.Header[retry.HeaderRetried]
 	h.settled = first(r.Header, headerSettled) != ""
 	h.waited = parseWaited(r.Header)
-	h.once = first(r.Header, headerOnce) != ""
+	h.oneShot = first(r.Header, headerOnce) != ""
 	h.noWait = first(r.Header, headerNoWait) != ""
 	far := parseRate(r.Header)
 	dropHopByHop(r.Header)
-	dropOwn(r.Header)
+	dropInternal(r.Header)
 	if retried != nil {
 		r.Header[retry.HeaderRetried] = retried
 	}
@@ -202,7 +202,7 @@
 	a := d.hold(ctx, now, in, b, t)
 	if a.resp == nil {
 		d.inFlight.Add(-1)
-		if !a.busy() {
+		if !a.noFreeSlot() {
 			d.logEnd(now, in, b, &a)
 		}
 	}
--- a/internal/proxy/destination_admit.go
+++ b/internal/proxy/destination_admit.go
@@ -52,7 +52,7 @@
 func (d *Destination) enter(ctx context.Context, now time.Time, in *inbound, h *holding) (*call.Refusal, error) {
 	if d.Gates != nil {
 		times := limit.AcquireOptions{
-			FirstAttempt: now.Add(-in.hop.waited), OneShot: in.hop.once, NoWait: in.hop.noWait,
+			FirstAttempt: now.Add(-in.hop.waited), OneShot: in.hop.oneShot, NoWait: in.hop.noWait,
 			Deadline: startBy(now, in.deadline), Caller: d.caller(in.header),
 		}
 		permit, err := d.Gates.Acquire(ctx, h.backend, h.target, times)
--- a/internal/proxy/destination_log.go
+++ b/internal/proxy/destination_log.go
@@ -16,10 +16,10 @@
 // line begins a line about a call at its destination.
 func (d *Destination) line(now time.Time, k decisions.Kind, in *inbound, b Backend) *zerolog.Event {
 	l := d.Decisions.Line(now, k, d.Dialect.CallID(in.header))
-	if in.hop.waited > waitedLeast {
+	if in.hop.waited > minWaited {
 		l.Int64("before_ms", in.hop.waited.Milliseconds())
 	}
-	if in.hop.once {
+	if in.hop.oneShot {
 		l.Bool("once", true)
 	}
 	return l.Str("class", in.hop.class).Str("service", in.hop.service).Str("instance", in.hop.instance).
--- a/internal/proxy/destination_run.go
+++ b/internal/proxy/destination_run.go
@@ -34,7 +34,7 @@
 		ctx = context.WithoutCancel(ctx)
 	}
 	a := d.Upstreams.send(ctx, now, &outbound{
-		in: in.r, header: in.header, body: in.body, addr: h.backend.Addr, wait: left, stall: stallOf(h.target),
+		in: in.r, header: in.header, body: in.body, addr: h.backend.Addr, answerTimeout: left, stallTimeout: stallTimeoutOf(h.target),
 		extra: d.Dialect.AttemptHeaders(left, h.backend.Instance),
 	})
 	if a.resp == nil {
@@ -47,12 +47,12 @@
 		discard(a.resp)
 		return answer{refusal: read.Refusal, load: read.Load}
 	case read.Err != nil:
-		a.kill()
+		a.abort()
 		return answer{err: read.Err}
 	}
 	a.load = read.Load
 	dropHopByHop(a.resp.Header)
-	dropOwn(a.resp.Header)
+	dropInternal(a.resp.Header)
 	h.status, h.answered = a.resp.StatusCode, d.Now()
 	if h.stored != nil {
 		h.stored.Status = a.resp.StatusCode
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -40,9 +40,9 @@
 // Entry takes calls from callers and sends them to destination nodes.
 type Entry struct {
 	EntryOptions
-	kept    keptBodies
-	returns returns
-	free    freeShares
+	kept      keptBodies
+	returning returningCallers
+	freeSlots freeSlotShares
 }
 
 // NewEntry returns an Entry.
@@ -70,7 +70,7 @@
 }
 
 // entering is one call at its entry node.
-type entering struct {
+type entryCall struct {
 	r      *http.Request
 	target *config.Target
 	class  *ClassMeter
@@ -78,40 +78,40 @@
 	id     string // what the logs call it
 	start  time.Time
 	// asked is when the caller first asked, if it was refused here and came back.
-	asked    time.Time
-	deadline time.Time
-	version  uint64 // of the configuration that matched it
-	maxBody  int64  // bytes; zero for no bound
-	tried    []string
-	search   search // for a free slot
+	firstAttempt time.Time
+	deadline     time.Time
+	version      uint64 // of the configuration that matched it
+	maxBody      int64  // bytes; zero for no bound
+	tried        []string
+	search       slotSearch // for a free slot
 	// closed are the endpoints tried that take no calls.
-	closed []string
+	unavailable []string
 	// pinned are the endpoints that refused a suspect as pinned to another.
-	pinned   []string
-	n        int // attempts made
-	reached  int // attempts that a backend server got, or may have
-	fp       quarantine.Fingerprint
-	isolated bool // to be run at one place at a time
-	below    bool // the call is part of one that is being retried
+	pinned        []string
+	attempts      int // attempts made
+	reached       int // attempts that a backend server got, or may have
+	fp            quarantine.Fingerprint
+	isolated      bool // to be run at one place at a time
+	parentRetried bool // the call is part of one that is being retried
 	// lost is why an attempt that may have run gave no answer, or nil.
-	lost error
+	unknownErr error
 	// workspace is the one whose quota the call counts against, or nil.
 	workspace *config.Workspace
 }
 
-var enterings = sync.Pool{New: func() any { return new(entering) }}
+var entryCalls = sync.Pool{New: func() any { return new(entryCall) }}
 
 // free gives c back for another call.
-func (c *entering) free() {
-	*c = entering{tried: c.tried[:0], search: search{looked: c.search.looked[:0]}, closed: c.closed[:0], pinned: c.pinned[:0]}
-	enterings.Put(c)
+func (c *entryCall) free() {
+	*c = entryCall{tried: c.tried[:0], search: slotSearch{rejected: c.search.rejected[:0]}, unavailable: c.unavailable[:0], pinned: c.pinned[:0]}
+	entryCalls.Put(c)
 }
 
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request, internal bool) {
-	c := enterings.Get().(*entering)
+	c := entryCalls.Get().(*entryCall)
 	defer c.free()
 	c.r, c.start = r, e.Now()
-	c.asked = c.start
+	c.firstAttempt = c.start
 	c.id = e.Dialect.CallID(r.Header)
 	if e.Readiness != nil {
 		e.Readiness.Await(r.Context())
@@ -130,24 +130,24 @@
 		return
 	}
 	defer c.body.release()
-	c.below = first(r.Header, retry.HeaderRetried) != ""
+	c.parentRetried = first(r.Header, retry.HeaderRetried) != ""
 	dropHopByHop(r.Header)
-	dropOwn(r.Header)
+	dropInternal(r.Header)
 	addForwarded(r.Header, r.RemoteAddr)
 	setExpect(c)
 	ctx, span := e.Tracer.startRemote(r, "entry", c.target.Name)
 	defer span.end()
-	if refusal := e.suspect(c); refusal != nil {
+	if refusal := e.checkSuspect(c); refusal != nil {
 		e.refuse(w, c, refusal)
 		return
 	}
-	c.asked = e.returns.since(c.start, c.fp)
+	c.firstAttempt = e.returning.firstAttempt(c.start, c.fp)
 	e.Retrier.Called(c.target.Service)
 	e.run(ctx, w, c, span)
 }
 
 // suspect finds out whether the request is one that crashes backend servers.
-func (e *Entry) suspect(c *entering) *call.Refusal {
+func (e *Entry) checkSuspect(c *entryCall) *call.Refusal {
 	c.fp = fingerprintOf(c.r, c.r.Header, &c.body)
 	if e.Suspects == nil {
 		return nil
@@ -167,7 +167,7 @@
 // setExpect asks the destination node to say when it wants the body, if the
 // body streams: a refusal then comes before any of it was read, and the call can
 // go to another endpoint. A body that was read already needs no such word.
-func setExpect(c *entering) {
+func setExpect(c *entryCall) {
 	delete(c.r.Header, "Expect")
 	if c.body.streams() {
 		c.r.Header["Expect"] = expectValue
@@ -177,7 +177,7 @@
 var expectValue = []string{"100-continue"}
 
 // match finds the call's class and deadline, and refuses what may not enter.
-func (e *Entry) match(c *entering, internal bool) *call.Refusal {
+func (e *Entry) match(c *entryCall, internal bool) *call.Refusal {
 	if wantsUpgrade(c.r) {
 		return refuse(call.ReasonBadRequest, 0, "upgrades are not carried")
 	}
@@ -222,7 +222,7 @@
 // unmatched refuses a call that belongs to no class. A node that has just
 // started holds no classes yet: its callers must come back, and not be told
 // that there is no such route.
-func (e *Entry) unmatched(c *entering) *call.Refusal {
+func (e *Entry) unmatched(c *entryCall) *call.Refusal {
 	if e.Admitter != nil {
 		if r := e.Admitter.Admit(c.start, nil); r != nil {
 			return r
--- a/internal/proxy/entry_answer.go
+++ b/internal/proxy/entry_answer.go
@@ -11,7 +11,7 @@
 )
 
 // answer passes the answer on and reports it.
-func (e *Entry) answer(w http.ResponseWriter, c *entering, choice Choice, a *answer, sent time.Time) {
+func (e *Entry) answer(w http.ResponseWriter, c *entryCall, choice Choice, a *answer, sent time.Time) {
 	first := e.Now().Sub(sent)
 	endpoint := choice.Endpoint().ID // the choice is used again after Done
 	p := passed{partial: true}       // should relay panic
@@ -44,19 +44,19 @@
 // may have run. An idempotent call is sent again after such an attempt; when
 // the next one is refused, that refusal speaks for the attempt alone, and a
 // caller told "not run" would believe it of the call.
-func (e *Entry) refuse(w http.ResponseWriter, c *entering, r *call.Refusal) {
-	if c.lost != nil {
+func (e *Entry) refuse(w http.ResponseWriter, c *entryCall, r *call.Refusal) {
+	if c.unknownErr != nil {
 		e.unknown(w, c)
 		return
 	}
-	e.giveBack(c)
+	e.refund(c)
 	if c.class != nil {
 		c.class.Refused(e.Now(), r.Reason)
 	} else {
 		e.Meters.Unmatched(r.Reason)
 	}
 	e.logRefusal(c, r)
-	e.returns.refused(e.Now(), c, r.RetryAfter)
+	e.returning.recordRefusal(e.Now(), c, r.RetryAfter)
 	c.body.answering(c.r, w.Header())
 	writeRefused(w, r, e.Dialect)
 }
@@ -66,7 +66,7 @@
 // giveUp tells the caller what is known of the last attempt, and when to come
 // back. A backend server that is told so for a call of its own can pass the
 // mark on with its refusal, and no node further up will retry in vain.
-func (e *Entry) giveUp(w http.ResponseWriter, c *entering, a *answer, d retry.Decision) {
+func (e *Entry) giveUp(w http.ResponseWriter, c *entryCall, a *answer, d retry.Decision) {
 	w.Header()[retry.HeaderFinal] = finalValue
 	if a.refusal != nil {
 		r := *a.refusal
@@ -78,9 +78,9 @@
 }
 
 // unknown tells the caller that its call may have run.
-func (e *Entry) unknown(w http.ResponseWriter, c *entering) {
+func (e *Entry) unknown(w http.ResponseWriter, c *entryCall) {
 	now := e.Now()
-	if kindOf(c.lost) == unknownStore {
+	if kindOf(c.unknownErr) == unknownStore {
 		// The sending itself was refused; it is no failed answer.
 		c.class.Refused(now, call.ReasonStoreDown)
 	} else {
@@ -88,7 +88,7 @@
 	}
 	e.logUnknown(now, c)
 	c.body.answering(c.r, w.Header())
-	writeUnknown(w, c.lost)
+	writeUnknown(w, c.unknownErr)
 }
 
 // report tells the picker how an attempt went.
--- a/internal/proxy/entry_key.go
+++ b/internal/proxy/entry_key.go
@@ -21,7 +21,7 @@
 
 // authenticate finds the workspace of a call by its API key. Where the configuration has
 // workspaces, neither the key nor what the caller says of its workspace is passed on.
-func (e *Entry) authenticate(c *entering, keys *config.Keyring) *call.Refusal {
+func (e *Entry) authenticate(c *entryCall, keys *config.Keyring) *call.Refusal {
 	key := e.Dialect.TakeKey(c.r.Header, keys != nil)
 	if keys == nil {
 		return nil
@@ -41,7 +41,7 @@
 }
 
 // admitWorkspace counts a call against its workspace's quota.
-func (e *Entry) admitWorkspace(c *entering, w *config.Workspace) *call.Refusal {
+func (e *Entry) admitWorkspace(c *entryCall, w *config.Workspace) *call.Refusal {
 	if refusal := e.Workspaces.CheckKeys(c.start); refusal != nil {
 		return refusal
 	}
@@ -53,7 +53,7 @@
 }
 
 // giveBack takes a call that was not run off its workspace's quota.
-func (e *Entry) giveBack(c *entering) {
+func (e *Entry) refund(c *entryCall) {
 	if c.workspace != nil {
 		e.Workspaces.Refund(e.Now(), c.workspace)
 		c.workspace = nil
--- a/internal/proxy/entry_log.go
+++ b/internal/proxy/entry_log.go
@@ -12,7 +12,7 @@
 )
 
 // line begins a line about c, with what every one of them tells.
-func (e *Entry) line(now time.Time, k decisions.Kind, c *entering) *zerolog.Event {
+func (e *Entry) logLine(now time.Time, k decisions.Kind, c *entryCall) *zerolog.Event {
 	l := e.Decisions.Line(now, k, c.id)
 	if l == nil {
 		return nil
@@ -20,34 +20,34 @@
 	if c.target != nil {
 		l.Str("class", c.target.Name).Str("service", c.target.Service)
 	}
-	if before := c.start.Sub(c.asked); before > 0 {
+	if before := c.start.Sub(c.firstAttempt); before > 0 {
 		l.Int64("before_ms", before.Milliseconds()) // since the caller first asked and was refused
 	}
-	if n := len(c.search.looked); n > 0 {
+	if n := len(c.search.rejected); n > 0 {
 		l.Int("looks", n)
 	}
-	return l.Uint64("version", c.version).Int("attempts", c.n).Int("reached", c.reached).
+	return l.Uint64("version", c.version).Int("attempts", c.attempts).Int("reached", c.reached).
 		Int64("after_ms", now.Sub(c.start).Milliseconds())
 }
 
 // left returns how many milliseconds of c's time are left.
-func (c *entering) left(now time.Time) int64 { return c.deadline.Sub(now).Milliseconds() }
+func (c *entryCall) remainingMS(now time.Time) int64 { return c.deadline.Sub(now).Milliseconds() }
 
-func (e *Entry) logRefusal(c *entering, r *call.Refusal) {
+func (e *Entry) logRefusal(c *entryCall, r *call.Refusal) {
 	now := e.Now()
-	e.line(now, decisions.Refused, c).Str("reason", string(r.Reason)).Str("detail", r.Detail).
-		Int64("left_ms", c.left(now)).Int64("come_back_ms", r.RetryAfter.Milliseconds()).
+	e.logLine(now, decisions.Refused, c).Str("reason", string(r.Reason)).Str("detail", r.Detail).
+		Int64("left_ms", c.remainingMS(now)).Int64("come_back_ms", r.RetryAfter.Milliseconds()).
 		Msg("entry: refuse the call as not run")
 }
 
-func (e *Entry) logUnknown(now time.Time, c *entering) {
-	e.line(now, decisions.Unknown, c).AnErr("cause", c.lost).Int64("left_ms", c.left(now)).
+func (e *Entry) logUnknown(now time.Time, c *entryCall) {
+	e.logLine(now, decisions.Unknown, c).AnErr("cause", c.unknownErr).Int64("left_ms", c.remainingMS(now)).
 		Strs("tried", c.tried).Msg("entry: tell the caller that the call may have run")
 }
 
-func (e *Entry) logRetry(c *entering, ep Endpoint, a *answer, d retry.Decision) {
+func (e *Entry) logRetry(c *entryCall, ep Endpoint, a *answer, d retry.Decision) {
 	now := e.Now()
-	l := e.line(now, decisions.Retried, c).Str("endpoint", ep.ID).Str("why", string(d.Reason)).Int64("left_ms", c.left(now))
+	l := e.logLine(now, decisions.Retried, c).Str("endpoint", ep.ID).Str("why", string(d.Reason)).Int64("left_ms", c.remainingMS(now))
 	if a.refusal != nil {
 		l = l.Str("reason", string(a.refusal.Reason)).Str("detail", a.refusal.Detail)
 	}
@@ -55,7 +55,7 @@
 }
 
 // logAnswer tells of an answer that was not as it should be, and counts the rest.
-func (e *Entry) logAnswer(now time.Time, c *entering, endpoint string, a *answer, p passed) {
+func (e *Entry) logAnswer(now time.Time, c *entryCall, endpoint string, a *answer, p passed) {
 	took, aim := now.Sub(c.start), c.target.AnswerWithin()
 	kind, text := decisions.Kind(""), ""
 	switch {
@@ -69,7 +69,7 @@
 		e.Decisions.Answered(c.target.Name, endpoint)
 		return
 	}
-	e.line(now, kind, c).Str("endpoint", endpoint).Int("status", a.resp.StatusCode).
+	e.logLine(now, kind, c).Str("endpoint", endpoint).Int("status", a.resp.StatusCode).
 		Int64("waited_ms", a.took.wait.Milliseconds()).Int64("ran_ms", a.took.run.Milliseconds()).
 		Int64("aim_ms", aim.Milliseconds()).Int64("bytes", p.bytes).Bool("partial", p.partial).Msg(text)
 }
--- a/internal/proxy/entry_pick.go
+++ b/internal/proxy/entry_pick.go
@@ -15,15 +15,15 @@
 // ErrTriedAll is returned by Pickers when every endpoint has had the call.
 var ErrTriedAll = errors.New("proxy: every endpoint was tried")
 
-func (e *Entry) pick(now time.Time, c *entering) (Choice, error) {
-	c.search.look = NoSearch
+func (e *Entry) pick(now time.Time, c *entryCall) (Choice, error) {
+	c.search.scope = NoSearch
 	if c.isolated {
-		return e.Pickers.PickFixed(now, c.target, c.fp.Key(), c.avoid(e.Suspects.CrashedAt(now, c.fp)))
+		return e.Pickers.PickFixed(now, c.target, c.fp.Key(), c.avoided(e.Suspects.CrashedAt(now, c.fp)))
 	}
-	if key := guardKey(c); key != "" {
-		return e.Pickers.PickFixed(now, c.target, xxhash.Sum64String(key), c.closed)
+	if key := localGuardKey(c); key != "" {
+		return e.Pickers.PickFixed(now, c.target, xxhash.Sum64String(key), c.unavailable)
 	}
-	if choice := e.lookUp(now, c); choice != nil {
+	if choice := e.pickFreeSlot(now, c); choice != nil {
 		return choice, nil
 	}
 	return e.Pickers.Pick(now, c.target, PickInfo{Tried: c.tried})
@@ -37,17 +37,17 @@
 // nothing of. An innocent call would else be sent to it until its attempts are
 // used up, while all others could run it. An endpoint that takes no calls runs
 // no suspect, so at most one endpoint still does.
-func (c *entering) avoid(crashed []string) []string {
-	if len(c.closed)+len(c.pinned) == 0 {
+func (c *entryCall) avoided(crashed []string) []string {
+	if len(c.unavailable)+len(c.pinned) == 0 {
 		return crashed
 	}
-	return slices.Concat(crashed, c.closed, c.pinned)
+	return slices.Concat(crashed, c.unavailable, c.pinned)
 }
 
 // notePinned makes the next attempt run isolated after a destination said that
 // the request is a suspect and pinned to another endpoint. This node may know
 // nothing of the crash.
-func (c *entering) notePinned(a *answer, ep Endpoint) {
+func (c *entryCall) notePinned(a *answer, ep Endpoint) {
 	if a.refusal != nil && a.refusal.Reason == call.ReasonPinned {
 		c.isolated = true
 		c.pinned = append(c.pinned, ep.ID)
@@ -55,12 +55,12 @@
 }
 
 // settled reports whether the next endpoint has to take the suspect.
-func (c *entering) settled() bool {
-	return c.isolated && (len(c.closed) > 0 || len(c.pinned) >= quarantine.MaxPinnedRefusals)
+func (c *entryCall) settled() bool {
+	return c.isolated && (len(c.unavailable) > 0 || len(c.pinned) >= quarantine.MaxPinnedRefusals)
 }
 
 // takesNone reports whether the refusal says that the endpoint takes no calls.
-func takesNone(r *call.Refusal) bool {
+func isUnavailable(r *call.Refusal) bool {
 	if r == nil {
 		return false
 	}
@@ -75,7 +75,7 @@
 // when the platform is down. That holds only if its resends reach the same node,
 // so of those that were tried only the ones that take no calls are left out: a
 // call that ran elsewhere for want of room would run again when it is resent.
-func guardKey(c *entering) string {
+func localGuardKey(c *entryCall) string {
 	if c.target.Idempotent || c.target.StoreDownRule() != config.OnStoreDownLocalGuard {
 		return ""
 	}
--- a/internal/proxy/entry_run.go
+++ b/internal/proxy/entry_run.go
@@ -11,7 +11,7 @@
 )
 
 // run makes attempts until one is answered or none may follow.
-func (e *Entry) run(ctx context.Context, w http.ResponseWriter, c *entering, s span) {
+func (e *Entry) run(ctx context.Context, w http.ResponseWriter, c *entryCall, s span) {
 	var last *call.Refusal
 	for {
 		now := e.Now()
@@ -21,24 +21,24 @@
 			e.refuse(w, c, pickRefusal(err, last))
 			return
 		}
-		c.n++
+		c.attempts++
 		ep := choice.Endpoint()
 		a := e.attempt(ctx, now, c, ep)
 		s.outcome(&a)
-		e.noteOffer(c, &a)
+		e.recordOffer(c, &a)
 		if a.resp != nil {
 			e.answer(w, c, choice, &a, now)
 			return
 		}
 		choice.Done(e.Now(), report(&a, e.Now().Sub(now)))
-		if c.search.failed(&a) && ctx.Err() == nil {
-			c.search.missed(ep.ID)
-			c.n-- // a look is no attempt: nothing further down was asked to run it
+		if c.search.foundNoSlot(&a) && ctx.Err() == nil {
+			c.search.reject(ep.ID)
+			c.attempts-- // a look is no attempt: nothing further down was asked to run it
 			continue
 		}
-		e.noteUnanswered(c, ep, &a)
+		e.recordUnanswered(c, ep, &a)
 		last = a.refusal
-		d := e.again(ctx, c, &a)
+		d := e.decideRetry(ctx, c, &a)
 		if !d.Retry {
 			e.giveUp(w, c, &a, d)
 			return
@@ -48,32 +48,32 @@
 }
 
 // noteUnanswered keeps what an attempt without an answer says for the next one.
-func (e *Entry) noteUnanswered(c *entering, ep Endpoint, a *answer) {
+func (e *Entry) recordUnanswered(c *entryCall, ep Endpoint, a *answer) {
 	if a.reached() {
 		c.reached++
 	}
 	c.tried = append(c.tried, ep.ID)
-	if takesNone(a.refusal) {
-		c.closed = append(c.closed, ep.ID)
+	if isUnavailable(a.refusal) {
+		c.unavailable = append(c.unavailable, ep.ID)
 	}
 	c.notePinned(a, ep)
 	if a.err != nil {
-		c.lost = a.err
+		c.unknownErr = a.err
 	}
-	if a.broke() {
-		e.broke(c, ep)
+	if a.connBroke() {
+		e.recordBroken(c, ep)
 	}
 }
 
 // overdue reports whether c has waited longer than its class aims at.
-func (c *entering) overdue(now time.Time) bool {
+func (c *entryCall) overdue(now time.Time) bool {
 	aim := c.target.AnswerWithin()
-	return aim > 0 && now.Sub(c.asked) > aim
+	return aim > 0 && now.Sub(c.firstAttempt) > aim
 }
 
 // broke tells the suspects of a call that broke at ep, and asks whether the
 // next attempt has to run isolated.
-func (e *Entry) broke(c *entering, ep Endpoint) {
+func (e *Entry) recordBroken(c *entryCall, ep Endpoint) {
 	if e.Suspects == nil {
 		return
 	}
@@ -83,16 +83,16 @@
 }
 
 // again decides on another attempt, and waits for it as told.
-func (e *Entry) again(ctx context.Context, c *entering, a *answer) retry.Decision {
+func (e *Entry) decideRetry(ctx context.Context, c *entryCall, a *answer) retry.Decision {
 	now := e.Now()
 	d := e.Retrier.Decide(c.target.Service, retry.Input{
 		Now: now, Outcome: a.outcome(), Idempotent: c.target.Idempotent,
-		Attempt: c.n, Elapsed: now.Sub(c.start), Remaining: c.deadline.Sub(now),
+		Attempt: c.attempts, Elapsed: now.Sub(c.start), Remaining: c.deadline.Sub(now),
 		Reached: c.reached, MaxReached: c.target.Attempts,
 		Refusal: a.refusal, BodyReplayable: c.body.reusable(),
 		Final:         a.refusal != nil && a.refusal.Detail == detailDeep,
-		ParentRetried: c.below, TriedAll: e.Pickers.TriedAll(now, c.target, c.tried),
-		OneShot: e.returns.never(c.target.Name), Overdue: c.overdue(now),
+		ParentRetried: c.parentRetried, TriedAll: e.Pickers.TriedAll(now, c.target, c.tried),
+		OneShot: e.returning.oneShot(c.target.Name), Overdue: c.overdue(now),
 	})
 	if d.Retry && e.Suspects != nil && e.Suspects.Blocked(now, c.fp) != nil {
 		d.Retry = false
--- a/internal/proxy/full_test.go
+++ b/internal/proxy/full_test.go
@@ -20,7 +20,7 @@
 		{"full", answer{refusal: refused, load: Load{Busy: 6, Slots: 6, Known: true}}, true},
 		{"says nothing", answer{refusal: refused}, true},
 		{"refused by this node", answer{refusal: &call.Refusal{Reason: call.ReasonOverloaded}}, false},
-		{"lost", answer{err: errWaited}, false},
+		{"lost", answer{err: errAnswerTimeout}, false},
 	} {
 		if got := c.a.full(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -19,7 +19,7 @@
 	"Proxy-Connection", "Te", "Transfer-Encoding", "Upgrade",
 }
 
-const prefix = "Marlpass-"
+const internalPrefix = "Marlpass-"
 
 // first returns the first value of a header whose name is canonical. Unlike
 // Header.Get it does not look at the name's spelling.
@@ -44,9 +44,9 @@
 
 // dropOwn removes every header that only nodes may set. Whoever else sends
 // one is not believed.
-func dropOwn(h http.Header) {
+func dropInternal(h http.Header) {
 	for name := range h {
-		if strings.HasPrefix(name, prefix) {
+		if strings.HasPrefix(name, internalPrefix) {
 			delete(h, name)
 		}
 	}
--- a/internal/proxy/headers_test.go
+++ b/internal/proxy/headers_test.go
@@ -20,7 +20,7 @@
 		"Marlpass-Not-Run": {"overloaded"}, "Marlpass-Anything": {"x"}, "Idempotency-Key": {"k"},
 	}
 	dropHopByHop(h)
-	dropOwn(h)
+	dropInternal(h)
 	var left []string
 	for name := range h {
 		left = append(left, name)
--- a/internal/proxy/hop.go
+++ b/internal/proxy/hop.go
@@ -24,7 +24,7 @@
 	waited time.Duration
 	// once says that the caller will not come back when it is refused. It travels
 	// in headerOnce.
-	once bool
+	oneShot bool
 	// noWait says that the call is to start now or be refused as busy. It travels
 	// in headerNoWait.
 	noWait bool
@@ -46,11 +46,11 @@
 
 // waitedLeast is a wait that decides nothing, a few ways between data centres long.
 // Most calls have waited less, and need no header.
-const waitedLeast = 10 * time.Millisecond
+const minWaited = 10 * time.Millisecond
 
 func setWaited(h http.Header, waited time.Duration) {
 	delete(h, headerWaited)
-	if waited > waitedLeast {
+	if waited > minWaited {
 		h[headerWaited] = []string{strconv.FormatInt(waited.Milliseconds(), 10)}
 	}
 }
--- a/internal/proxy/link_room_test.go
+++ b/internal/proxy/link_room_test.go
@@ -11,8 +11,8 @@
 func TestLookGoesOnWhereTheLinkIsFull(t *testing.T) {
 	full := &answer{refusal: &call.Refusal{Reason: call.ReasonLinkFull}}
 	for look, want := range map[SearchScope]bool{SearchDataCentre: true, SearchRegion: true, NoSearch: false} {
-		s := search{look: look}
-		if got := s.failed(full); got != want {
+		s := slotSearch{scope: look}
+		if got := s.foundNoSlot(full); got != want {
 			t.Errorf("look %v: got %v", look, got)
 		}
 	}
--- a/internal/proxy/look.go
+++ b/internal/proxy/look.go
@@ -22,45 +22,45 @@
 const (
 	// looksNear is how many endpoints of the own data centre a call is offered to without
 	// waiting. With a third of them free, four find one for four calls in five.
-	looksNear = 4
+	maxDataCentreOffers = 4
 	// looksFar is the same for the region's other data centres, whose links cost more
 	// than time.
-	looksFar = 2
+	maxRegionOffers = 2
 	// nearLeast and farLeast are the shares of endpoints with a free slot below which a
 	// look is not worth its way: calls find hardly any, and only add to the load of
 	// nodes and links.
-	nearLeast = 0.1
-	farLeast  = 0.3
+	minDataCentreShare = 0.1
+	minRegionShare     = 0.3
 	// offerWeight is the weight of one offer in that share.
-	offerWeight = 0.05
+	freeShareWeight = 0.05
 	// startedAtOnce is the longest wait of a call that got a free slot.
-	startedAtOnce = time.Millisecond
+	maxImmediateWait = time.Millisecond
 	// lookBodyMost is the longest body in bytes that is sent along to look. A larger one
 	// costs the links more than a wait costs its caller.
-	lookBodyMost = 16 << 10
+	maxSearchBody = 16 << 10
 )
 
 // search is one call's search for a free slot.
-type search struct {
-	looked []string    // the endpoints that had none
-	far    int         // how many of them are in other data centres
-	look   SearchScope // the offer under way
+type slotSearch struct {
+	rejected []string    // the endpoints that had none
+	remote   int         // how many of them are in other data centres
+	scope    SearchScope // the offer under way
 }
 
 // first returns how the next offer looks for a free slot, at first.
-func (s *search) first(free *freeShare) SearchScope {
-	if free.load() < nearLeast {
+func (s *slotSearch) initialScope(free *freeSlotShare) SearchScope {
+	if free.load() < minDataCentreShare {
 		return NoSearch
 	}
-	if len(s.looked)-s.far < looksNear {
+	if len(s.rejected)-s.remote < maxDataCentreOffers {
 		return SearchDataCentre
 	}
-	return s.farther(SearchDataCentre, free)
+	return s.widen(SearchDataCentre, free)
 }
 
 // farther returns how it looks where the endpoints that look takes in were all looked at.
-func (s *search) farther(look SearchScope, free *freeShare) SearchScope {
-	if look == SearchRegion || s.far >= looksFar || free.load() < farLeast {
+func (s *slotSearch) widen(look SearchScope, free *freeSlotShare) SearchScope {
+	if look == SearchRegion || s.remote >= maxRegionOffers || free.load() < minRegionShare {
 		return NoSearch
 	}
 	return SearchRegion
@@ -69,15 +69,15 @@
 // failed reports whether a look has found no room: no free slot, or none for a large answer
 // on the link of the endpoint's VM. A look asks nothing of an endpoint, so the next one is
 // asked as if nothing had been.
-func (s *search) failed(a *answer) bool {
-	return a.busy() || s.look != NoSearch && a.refusal != nil && a.refusal.Reason == call.ReasonLinkFull
+func (s *slotSearch) foundNoSlot(a *answer) bool {
+	return a.noFreeSlot() || s.scope != NoSearch && a.refusal != nil && a.refusal.Reason == call.ReasonLinkFull
 }
 
 // missed notes that the endpoint looked at has no room.
-func (s *search) missed(endpoint string) {
-	s.looked = append(s.looked, endpoint)
-	if s.look == SearchRegion {
-		s.far++
+func (s *slotSearch) reject(endpoint string) {
+	s.rejected = append(s.rejected, endpoint)
+	if s.scope == SearchRegion {
+		s.remote++
 	}
 }
 
@@ -85,23 +85,23 @@
 //
 // A keyed call claims its key before it may wait, which is a write to the platform, and
 // a suspect has to go where it is sent.
-func (c *entering) mayLook() bool {
-	if c.n > 0 || c.isolated || !c.body.reusable() || c.body.length > lookBodyMost {
+func (c *entryCall) maySearch() bool {
+	if c.attempts > 0 || c.isolated || !c.body.reusable() || c.body.length > maxSearchBody {
 		return false
 	}
 	return c.target.Idempotent || first(c.r.Header, call.HeaderKey) == ""
 }
 
 // lookUp picks an endpoint to look at, or returns nil when c is to wait.
-func (e *Entry) lookUp(now time.Time, c *entering) Choice {
-	if !c.mayLook() {
+func (e *Entry) pickFreeSlot(now time.Time, c *entryCall) Choice {
+	if !c.maySearch() {
 		return nil
 	}
-	free := e.free.of(c.target.Service)
-	for look := c.search.first(free); look != NoSearch; look = c.search.farther(look, free) {
-		choice, err := e.Pickers.Pick(now, c.target, PickInfo{Tried: c.search.looked, Scope: look})
+	free := e.freeSlots.of(c.target.Service)
+	for look := c.search.initialScope(free); look != NoSearch; look = c.search.widen(look, free) {
+		choice, err := e.Pickers.Pick(now, c.target, PickInfo{Tried: c.search.rejected, Scope: look})
 		if err == nil {
-			c.search.look = look
+			c.search.scope = look
 			return choice
 		}
 	}
@@ -109,11 +109,11 @@
 }
 
 // noteOffer takes in whether an offer of c found a free slot.
-func (e *Entry) noteOffer(c *entering, a *answer) {
-	free := e.free.of(c.target.Service)
+func (e *Entry) recordOffer(c *entryCall, a *answer) {
+	free := e.freeSlots.of(c.target.Service)
 	switch {
 	case a.resp != nil:
-		free.add(a.took.wait < startedAtOnce)
+		free.add(a.took.wait < maxImmediateWait)
 	case a.refusal == nil:
 	case a.refusal.Reason == call.ReasonBusy, a.refusal.Reason == call.ReasonOverloaded:
 		free.add(false)
@@ -121,44 +121,44 @@
 }
 
 // busy reports whether the endpoint had no free slot for a call that looked for one.
-func (a *answer) busy() bool { return a.refusal != nil && a.refusal.Reason == call.ReasonBusy }
+func (a *answer) noFreeSlot() bool { return a.refusal != nil && a.refusal.Reason == call.ReasonBusy }
 
 // freeShares knows, for each service, how often an endpoint that is offered a call has a
 // free slot.
-type freeShares struct{ byService sync.Map }
+type freeSlotShares struct{ byService sync.Map }
 
-func (f *freeShares) of(service string) *freeShare {
+func (f *freeSlotShares) of(service string) *freeSlotShare {
 	if s, ok := f.byService.Load(service); ok {
-		return s.(*freeShare)
+		return s.(*freeSlotShare)
 	}
-	s, _ := f.byService.LoadOrStore(service, new(freeShare))
-	return s.(*freeShare)
+	s, _ := f.byService.LoadOrStore(service, new(freeSlotShare))
+	return s.(*freeSlotShare)
 }
 
 // FreeSlotShares calls visit with how often an endpoint of each service that was offered a
 // call had a free slot lately, 0 to 1.
 func (e *Entry) FreeSlotShares(visit func(service string, share float64)) {
-	e.free.byService.Range(func(service, s any) bool {
-		visit(service.(string), s.(*freeShare).load())
+	e.freeSlots.byService.Range(func(service, s any) bool {
+		visit(service.(string), s.(*freeSlotShare).load())
 		return true
 	})
 }
 
 // freeShare is a moving mean of offers that found a free slot. It is kept as the bits of
 // the share that found none, so that the zero value is that of an idle service.
-type freeShare struct{ full atomic.Uint64 }
+type freeSlotShare struct{ busyBits atomic.Uint64 }
 
-func (s *freeShare) load() float64 { return 1 - math.Float64frombits(s.full.Load()) }
+func (s *freeSlotShare) load() float64 { return 1 - math.Float64frombits(s.busyBits.Load()) }
 
-func (s *freeShare) add(free bool) {
+func (s *freeSlotShare) add(free bool) {
 	sample := 1.0
 	if free {
 		sample = 0
 	}
 	for {
-		old := s.full.Load()
+		old := s.busyBits.Load()
 		mean := math.Float64frombits(old)
-		if s.full.CompareAndSwap(old, math.Float64bits(mean+offerWeight*(sample-mean))) {
+		if s.busyBits.CompareAndSwap(old, math.Float64bits(mean+freeShareWeight*(sample-mean))) {
 			return
 		}
 	}
--- a/internal/proxy/look_model_test.go
+++ b/internal/proxy/look_model_test.go
@@ -40,7 +40,7 @@
 	speed      float64
 	picker     *route.Picker
 	queue      *limit.Queue
-	free       freeShare
+	free       freeSlotShare
 }
 
 type modelCall struct {
@@ -48,7 +48,7 @@
 	asked    time.Time
 	deadline time.Time
 	work     time.Duration
-	search   search
+	search   slotSearch
 	tried    []string
 	waited   bool // at an endpoint, or was refused by one where it would have waited
 }
@@ -137,9 +137,9 @@
 func (m *model) pick(now time.Time, c *modelCall) (route.Choice, bool) {
 	n := c.from
 	if m.looks && len(c.tried) == 0 {
-		for look := c.search.first(&n.free); look != NoSearch; look = c.search.farther(look, &n.free) {
-			if choice, err := n.picker.PickFreeSlot(now, look == SearchDataCentre, c.search.looked); err == nil {
-				c.search.look = look
+		for look := c.search.initialScope(&n.free); look != NoSearch; look = c.search.widen(look, &n.free) {
+			if choice, err := n.picker.PickFreeSlot(now, look == SearchDataCentre, c.search.rejected); err == nil {
+				c.search.scope = look
 				return choice, false
 			}
 		}
@@ -209,7 +209,7 @@
 	choice.Done(now, route.Report{Outcome: call.NotRun, Refused: r.Reason})
 	c.from.free.add(false)
 	if r.Reason == call.ReasonBusy {
-		c.search.missed(choice.Endpoint().ID)
+		c.search.reject(choice.Endpoint().ID)
 		m.offer(now, c)
 		return
 	}
@@ -230,7 +230,7 @@
 		m.events(now, to)
 		l := loadOf(to)
 		m.at(now.Add(way), func(now time.Time) {
-			c.from.free.add(waited < startedAtOnce)
+			c.from.free.add(waited < maxImmediateWait)
 			choice.Done(now, route.Report{Outcome: call.Ran, Latency: now.Sub(sent), Load: l})
 			if c.waited {
 				m.waited++
--- a/internal/proxy/look_test.go
+++ b/internal/proxy/look_test.go
@@ -72,7 +72,7 @@
 	m.entry.Pickers = lookingPicks{m.picks}
 	full := new(fullGate)
 	m.dest[0].Gates, m.dest[1].Gates = full, full
-	free := m.entry.free.of(testService)
+	free := m.entry.freeSlots.of(testService)
 	calls := 0
 	book := func() {
 		calls++
@@ -84,7 +84,7 @@
 	if full.looked != 2 || full.waited != 1 {
 		t.Errorf("the first call looked %d times and waited %d times", full.looked, full.waited)
 	}
-	for free.load() >= nearLeast {
+	for free.load() >= minDataCentreShare {
 		free.add(false)
 	}
 	before := full.looked
@@ -93,7 +93,7 @@
 		t.Error("a call looks where hardly any slot was free")
 	}
 	// The calls that don't look are served at once: slots are free again.
-	for free.load() < nearLeast {
+	for free.load() < minDataCentreShare {
 		book()
 	}
 	book()
--- a/internal/proxy/notrun.go
+++ b/internal/proxy/notrun.go
@@ -34,7 +34,7 @@
 // unsent returns a refusal if it is certain that no byte of the attempt was or
 // will be written, and nil otherwise.
 func (a *attempt) unsent() *call.Refusal {
-	if !a.barConn() {
+	if !a.blockWrites() {
 		return nil
 	}
 	return &call.Refusal{Reason: call.ReasonUnreachable, RetryAfter: retryAfterUnreachable}
@@ -191,7 +191,7 @@
 		return unknownNotKept
 	case errors.Is(err, errStoreDown):
 		return unknownStore
-	case errors.Is(err, errWaited):
+	case errors.Is(err, errAnswerTimeout):
 		return unknownWaited
 	case errors.Is(err, errBodyTooLong):
 		return unknownTooLong
--- a/internal/proxy/patience_test.go
+++ b/internal/proxy/patience_test.go
@@ -30,10 +30,10 @@
 		{"second attempt", true, time.Second, 2, 4 * time.Second},
 		{"not idempotent", false, time.Second, 1, 4 * time.Second},
 	} {
-		c := &entering{n: tt.attempt, deadline: now.Add(4 * time.Second), target: &config.Target{
+		c := &entryCall{attempts: tt.attempt, deadline: now.Add(4 * time.Second), target: &config.Target{
 			Idempotent: tt.idempotent, AnswerWithinMS: tt.within.Milliseconds(),
 		}}
-		if got := new(Entry).patience(c, now); got != tt.want {
+		if got := new(Entry).attemptTimeout(c, now); got != tt.want {
 			t.Errorf("%s: got %s, want %s", tt.name, got, tt.want)
 		}
 	}
@@ -50,7 +50,7 @@
 	}{
 		{"broken here", answer{err: io.ErrUnexpectedEOF}, true},
 		{"broken at the destination", answer{err: &unknownError{unknownLost}}, true},
-		{"waited here", answer{err: errWaited, expired: true}, false},
+		{"waited here", answer{err: errAnswerTimeout, expired: true}, false},
 		{"waited at the destination", answer{err: &unknownError{unknownWaited}}, false},
 		{"broken by the bound", answer{err: io.ErrUnexpectedEOF, expired: true}, false},
 		{"caller left", answer{err: context.Canceled}, false},
@@ -58,7 +58,7 @@
 		{"refused", answer{refusal: refuse("overloaded", 0, "")}, false},
 		{"answered", answer{resp: new(http.Response)}, false},
 	} {
-		if got := tt.a.broke(); got != tt.want {
+		if got := tt.a.connBroke(); got != tt.want {
 			t.Errorf("%s: got %v", tt.name, got)
 		}
 	}
--- a/internal/proxy/quiet_test.go
+++ b/internal/proxy/quiet_test.go
@@ -171,7 +171,7 @@
 		{4000, true, 2 * time.Second},
 		{50, false, time.Second},
 	} {
-		if got := stallOf(&config.Target{DeadlineMS: tt.deadlineMS, Idempotent: tt.idempotent}); got != tt.want {
+		if got := stallTimeoutOf(&config.Target{DeadlineMS: tt.deadlineMS, Idempotent: tt.idempotent}); got != tt.want {
 			t.Errorf("%d ms, idempotent %t: %s, want %s", tt.deadlineMS, tt.idempotent, got, tt.want)
 		}
 	}
--- a/internal/proxy/returns.go
+++ b/internal/proxy/returns.go
@@ -17,63 +17,63 @@
 // It holds one refusal for each of its places, the newest. Two requests of the same
 // content, or the same place, are taken for one another at worst: one of them is then
 // believed to have waited when it has not. It takes no lock.
-type returns struct {
-	places  [returnPlaces]atomic.Pointer[refusedCall]
+type returningCallers struct {
+	table   [returnTableSize]atomic.Pointer[refusedCall]
 	classes sync.Map // name to *classReturns
 }
 
 const (
 	// returnPlaces holds the refusals of some seconds: of 500 refusals a second, each
 	// with a place of its own by chance, 8 in 10 are still there 2 s later.
-	returnPlaces = 4096
+	returnTableSize = 4096
 	// returnSlack is how much later than told a caller may come back.
-	returnSlack = time.Second
+	returnGrace = time.Second
 )
 
 // refusedCall is one refusal whose caller may come back.
 type refusedCall struct {
-	fp    quarantine.Fingerprint
-	asked time.Time // when the caller first asked
-	until time.Time // after which nobody comes back
-	back  atomic.Bool
+	fp           quarantine.Fingerprint
+	firstAttempt time.Time // when the caller first asked
+	returnBy     time.Time // after which nobody comes back
+	returned     atomic.Bool
 }
 
 // refused notes that c was refused and its caller told to come back after a while.
-func (t *returns) refused(now time.Time, c *entering, after time.Duration) {
+func (t *returningCallers) recordRefusal(now time.Time, c *entryCall, after time.Duration) {
 	if c.fp == (quarantine.Fingerprint{}) {
 		return // refused before it was read
 	}
-	r := &refusedCall{fp: c.fp, asked: c.asked, until: now.Add(2*after + returnSlack)}
+	r := &refusedCall{fp: c.fp, firstAttempt: c.firstAttempt, returnBy: now.Add(2*after + returnGrace)}
 	// A deadline before the class's timeout is the caller's own: it has left by then.
 	own := c.deadline.Sub(c.start) < c.target.Timeout()
-	if own && c.deadline.Before(r.until) {
-		r.until = c.deadline
+	if own && c.deadline.Before(r.returnBy) {
+		r.returnBy = c.deadline
 	}
-	t.place(c.fp).Store(r)
+	t.cell(c.fp).Store(r)
 	t.class(c.target.Name).add(now, r)
 }
 
 // since returns when the caller of a request that comes in now first asked.
-func (t *returns) since(now time.Time, fp quarantine.Fingerprint) time.Time {
-	place := t.place(fp)
+func (t *returningCallers) firstAttempt(now time.Time, fp quarantine.Fingerprint) time.Time {
+	place := t.cell(fp)
 	r := place.Load()
-	if r == nil || r.fp != fp || now.After(r.until) || !place.CompareAndSwap(r, nil) {
+	if r == nil || r.fp != fp || now.After(r.returnBy) || !place.CompareAndSwap(r, nil) {
 		return now
 	}
-	r.back.Store(true)
-	return r.asked
+	r.returned.Store(true)
+	return r.firstAttempt
 }
 
-func (t *returns) place(fp quarantine.Fingerprint) *atomic.Pointer[refusedCall] {
-	return &t.places[fp.Key()%returnPlaces]
+func (t *returningCallers) cell(fp quarantine.Fingerprint) *atomic.Pointer[refusedCall] {
+	return &t.table[fp.Key()%returnTableSize]
 }
 
 // never reports whether callers of the class don't come back after a refusal. Calls
 // that backend servers make for a call of their own are such: refused, they fail the
 // work that was done for it, and a caller that waits for it.
-func (t *returns) never(class string) bool { return t.class(class).never.Load() }
+func (t *returningCallers) oneShot(class string) bool { return t.class(class).oneShot.Load() }
 
-func (t *returns) class(name string) *classReturns {
+func (t *returningCallers) class(name string) *classReturns {
 	if c, ok := t.classes.Load(name); ok {
 		return c.(*classReturns)
 	}
@@ -83,38 +83,38 @@
 
 const (
 	// returnsSeen is how many refusals of a class are looked at.
-	returnsSeen = 32
+	returnsWindow = 32
 	// returnsLeast is how many of them must be so old that nobody comes back any more
 	// before they tell something.
-	returnsLeast = 6
+	minExpiredReturns = 6
 	// returnsFew is the share of returns below which callers count as never coming
 	// back. Of those who do, some leave before; a class where nine in ten leave is as
 	// good as lost when it is refused.
-	returnsFew = 0.1
+	minReturnShare = 0.1
 )
 
 // classReturns are the last refusals of one class.
 type classReturns struct {
-	last  [returnsSeen]atomic.Pointer[refusedCall]
-	next  atomic.Uint64
-	never atomic.Bool
+	recent  [returnsWindow]atomic.Pointer[refusedCall]
+	next    atomic.Uint64
+	oneShot atomic.Bool
 }
 
 // add takes in a refusal, and judges the class by those that are old enough.
 func (c *classReturns) add(now time.Time, r *refusedCall) {
-	c.last[c.next.Add(1)%returnsSeen].Store(r)
+	c.recent[c.next.Add(1)%returnsWindow].Store(r)
 	old, back := 0, 0
-	for i := range c.last {
-		r := c.last[i].Load()
-		if r == nil || now.Before(r.until) && !r.back.Load() {
+	for i := range c.recent {
+		r := c.recent[i].Load()
+		if r == nil || now.Before(r.returnBy) && !r.returned.Load() {
 			continue
 		}
 		old++
-		if r.back.Load() {
+		if r.returned.Load() {
 			back++
 		}
 	}
-	if old >= returnsLeast {
-		c.never.Store(float64(back) < returnsFew*float64(old))
+	if old >= minExpiredReturns {
+		c.oneShot.Store(float64(back) < minReturnShare*float64(old))
 	}
 }
--- a/internal/proxy/returns_test.go
+++ b/internal/proxy/returns_test.go
@@ -15,29 +15,29 @@
 
 var refusedAt = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func refusedCallOf(n byte, t *config.Target) *entering {
-	return &entering{fp: quarantine.Fingerprint{7: n}, asked: refusedAt, start: refusedAt, deadline: refusedAt.Add(t.Timeout()), target: t}
+func refusedCallOf(n byte, t *config.Target) *entryCall {
+	return &entryCall{fp: quarantine.Fingerprint{7: n}, firstAttempt: refusedAt, start: refusedAt, deadline: refusedAt.Add(t.Timeout()), target: t}
 }
 
 // A caller is refused and comes back when it was told to. The time that it waited must
 // count, once: the next caller who sends the same request has waited for nothing.
 func TestReturningCallerIsKnown(t *testing.T) {
-	var r returns
+	var r returningCallers
 	c := refusedCallOf(1, &config.Target{Name: "previews", TimeoutMS: 2000})
-	r.refused(refusedAt, c, time.Second)
+	r.recordRefusal(refusedAt, c, time.Second)
 	back := refusedAt.Add(1100 * time.Millisecond)
-	if got := r.since(back, quarantine.Fingerprint{7: 2}); !got.Equal(back) {
+	if got := r.firstAttempt(back, quarantine.Fingerprint{7: 2}); !got.Equal(back) {
 		t.Errorf("another caller asked at %v", got)
 	}
-	if got := r.since(back, c.fp); !got.Equal(refusedAt) {
+	if got := r.firstAttempt(back, c.fp); !got.Equal(refusedAt) {
 		t.Errorf("the caller first asked at %v, want %v", got, refusedAt)
 	}
-	if got := r.since(back, c.fp); !got.Equal(back) {
+	if got := r.firstAttempt(back, c.fp); !got.Equal(back) {
 		t.Errorf("the next caller asked at %v", got)
 	}
-	r.refused(refusedAt, c, time.Second)
+	r.recordRefusal(refusedAt, c, time.Second)
 	late := refusedAt.Add(time.Minute)
-	if got := r.since(late, c.fp); !got.Equal(late) {
+	if got := r.firstAttempt(late, c.fp); !got.Equal(late) {
 		t.Errorf("a caller of a minute later asked at %v", got)
 	}
 }
@@ -46,7 +46,7 @@
 // they fail the work. Those of callers who come back are. The node learns which is
 // which from what comes back, and only from refusals that are old enough to tell.
 func TestCallsThatNeverReturnAreKnown(t *testing.T) {
-	var r returns
+	var r returningCallers
 	previews := &config.Target{Name: "previews", TimeoutMS: 2000}
 	lookups := &config.Target{Name: "lookups", TimeoutMS: 600}
 	now := refusedAt
@@ -54,19 +54,19 @@
 		now = now.Add(100 * time.Millisecond)
 		for n, target := range []*config.Target{previews, lookups} {
 			c := refusedCallOf(2*i+byte(n), target)
-			c.asked, c.start = now, now
+			c.firstAttempt, c.start = now, now
 			c.deadline = now.Add(target.Timeout() - time.Millisecond) // the caller's own
-			r.refused(now, c, time.Second)
-			if i < 4 && r.never(target.Name) {
+			r.recordRefusal(now, c, time.Second)
+			if i < 4 && r.oneShot(target.Name) {
 				t.Fatalf("%s are taken for lost before anybody could come back", target.Name)
 			}
 		}
 		if i >= 11 { // the previews come back after 1.1 s
-			r.since(now, quarantine.Fingerprint{7: 2 * (i - 11)})
+			r.firstAttempt(now, quarantine.Fingerprint{7: 2 * (i - 11)})
 		}
 	}
-	if r.never("previews") || !r.never("lookups") {
-		t.Errorf("never back: previews %v, lookups %v", r.never("previews"), r.never("lookups"))
+	if r.oneShot("previews") || !r.oneShot("lookups") {
+		t.Errorf("never back: previews %v, lookups %v", r.oneShot("previews"), r.oneShot("lookups"))
 	}
 }
 
@@ -97,12 +97,12 @@
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Fatalf("got %v, %v", resp, err)
 	}
-	time.Sleep(4 * waitedLeast)
+	time.Sleep(4 * minWaited)
 	if resp, _, err = m.call("GET", "/lookup", ""); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("got %v, %v", resp, err)
 	}
 	first, second := <-seen, <-seen
-	if waited := second.Deadline.Sub(second.FirstAttempt) - first.Deadline.Sub(first.FirstAttempt); waited < 2*waitedLeast {
+	if waited := second.Deadline.Sub(second.FirstAttempt) - first.Deadline.Sub(first.FirstAttempt); waited < 2*minWaited {
 		t.Errorf("the destination counts %v of waiting more for the second sending", waited)
 	}
 }
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -11,18 +11,18 @@
 )
 
 // attempt sends the call to one endpoint.
-func (e *Entry) attempt(ctx context.Context, now time.Time, c *entering, ep Endpoint) answer {
+func (e *Entry) attempt(ctx context.Context, now time.Time, c *entryCall, ep Endpoint) answer {
 	header := c.r.Header
-	if c.n > 1 || len(c.search.looked) > 0 {
+	if c.attempts > 1 || len(c.search.rejected) > 0 {
 		// The transport may still be reading the header of the attempt before.
 		header = header.Clone()
 	}
-	if c.n > 1 || c.below {
+	if c.attempts > 1 || c.parentRetried {
 		header[retry.HeaderRetried] = []string{"1"}
 	}
 	h := hop{
-		left: e.patience(c, now), class: c.target.Name, service: c.target.Service, instance: ep.Instance,
-		waited: now.Sub(c.asked), once: e.returns.never(c.target.Name), noWait: c.search.look != NoSearch,
+		left: e.attemptTimeout(c, now), class: c.target.Name, service: c.target.Service, instance: ep.Instance,
+		waited: now.Sub(c.firstAttempt), oneShot: e.returning.oneShot(c.target.Name), noWait: c.search.scope != NoSearch,
 	}
 	if h.left <= 0 {
 		return answer{refusal: refuse(call.ReasonExpired, 0, "")}
@@ -30,13 +30,13 @@
 	h.settled = c.settled()
 	if e.Local != nil && ep.VM == e.Self {
 		a := e.Local.do(ctx, now, &inbound{r: c.r, header: header, body: &c.body, hop: h, deadline: now.Add(h.left)})
-		return c.ofPart(now, h.left, a)
+		return c.correctExpired(now, h.left, a)
 	}
 	if h.settled {
 		header[headerSettled] = settledValue
 	}
 	setWaited(header, h.waited)
-	if h.once {
+	if h.oneShot {
 		header[headerOnce] = onceValue
 	}
 	delete(header, headerNoWait) // of the offer before
@@ -47,10 +47,10 @@
 		e.Local.Link.setRate(header)
 	}
 	a := e.Upstreams.send(ctx, now, &outbound{
-		in: c.r, header: header, body: &c.body, addr: ep.Addr, vm: ep.VM, wait: h.left, stall: stallOf(c.target),
+		in: c.r, header: header, body: &c.body, addr: ep.Addr, vm: ep.VM, answerTimeout: h.left, stallTimeout: stallTimeoutOf(c.target),
 		extra: AttemptHeaders{{call.HeaderHop, h.String()}},
 	})
-	return c.ofPart(now, h.left, readNode(a))
+	return c.correctExpired(now, h.left, readNodeResponse(a))
 }
 
 // ofPart corrects a refusal that says that the deadline passed, when only the
@@ -64,7 +64,7 @@
 // An attempt that had all of the time is left as it is. Its destination drops it
 // a moment before the deadline, so that the refusal still arrives; another
 // attempt in that moment could only end as one that may have run.
-func (c *entering) ofPart(sent time.Time, left time.Duration, a answer) answer {
+func (c *entryCall) correctExpired(sent time.Time, left time.Duration, a answer) answer {
 	part := sent.Add(left).Before(c.deadline)
 	if part && a.refusal != nil && a.refusal.Reason == call.ReasonExpired {
 		a.refusal = refuse(call.ReasonOverloaded, 0, "no room within the attempt's part of the time")
@@ -80,19 +80,19 @@
 // aims at. With less, calls that wait their turn at a busy backend server, as
 // their class allows, would be cut off when they are about to be answered: the
 // work is lost, done again elsewhere, and the endpoint counted as failing.
-func (e *Entry) patience(c *entering, now time.Time) time.Duration {
+func (e *Entry) attemptTimeout(c *entryCall, now time.Time) time.Duration {
 	left := c.deadline.Sub(now)
 	if e.NoAttemptTimeout {
 		return left
 	}
-	if c.target.Idempotent && c.n == 1 && c.body.reusable() {
+	if c.target.Idempotent && c.attempts == 1 && c.body.reusable() {
 		return min(left, max(left/2, c.target.AnswerWithin()*3/2))
 	}
 	return left
 }
 
 // readNode takes from a node's answer what is meant for this node.
-func readNode(a answer) answer {
+func readNodeResponse(a answer) answer {
 	if a.resp == nil {
 		return a
 	}
@@ -109,7 +109,7 @@
 	a.linkWait = wait
 	a.took = parseTook(a.resp.Header)
 	dropHopByHop(a.resp.Header)
-	dropOwn(a.resp.Header)
+	dropInternal(a.resp.Header)
 	return a
 }
 
--- a/internal/proxy/silent_test.go
+++ b/internal/proxy/silent_test.go
@@ -124,7 +124,7 @@
 	send = func(ctx context.Context, wait time.Duration) answer {
 		r := httptest.NewRequest("POST", path, nil)
 		return ups.send(ctx, time.Now(), &outbound{in: r, header: http.Header{}, body: new(body),
-			addr: l.Addr().String(), wait: wait, stall: wait})
+			addr: l.Addr().String(), answerTimeout: wait, stallTimeout: wait})
 	}
 	var warm sync.WaitGroup
 	for range 2 {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -17,11 +17,11 @@
 	IdleTimeout       = 30 * time.Second
 	ServerIdleTimeout = 2 * time.Minute
 	maxIdlePerAddr    = 64
-	upstreamUnused    = 10 * time.Minute
+	maxUpstreamUnused = 10 * time.Minute
 	keepAliveIdle     = 15 * time.Second
-	keepAliveEvery    = 3 * time.Second
+	keepAliveInterval = 3 * time.Second
 	keepAliveCount    = 3
-	unackedBound      = 10 * time.Second
+	unackedTimeout    = 10 * time.Second
 	maxHeaderBytes    = 64 << 10
 	transportBuffer   = 8 << 10
 )
@@ -34,7 +34,7 @@
 // and the refusal that follows it is lost whenever the far end closes its connection
 // over the unread bytes: the caller would be told "may have run" of an upload that
 // reached no backend server. Backend servers are sent no Expect.
-const expectContinue = maxDeadline
+const expectContinueTimeout = maxDeadline
 
 // Upstreams keeps one pool of connections for each node, or for each address
 // of a backend server, so that all connections to it can be retired together.
@@ -42,11 +42,11 @@
 	mu     sync.Mutex // serialises writers
 	byName sync.Map   // string to *upstream
 	// secure is nil for plain connections.
-	handshake Handshake
-	dial      func(ctx context.Context, network, addr string) (net.Conn, error)
-	kept      time.Duration // how long an idle connection is kept
+	handshake   Handshake
+	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
+	idleTimeout time.Duration // how long an idle connection is kept
 	// dialBound is how long a new connection may take.
-	dialBound time.Duration
+	dialTimeout time.Duration
 }
 
 // Handshake turns a new connection into one on which vm itself has been proved to
@@ -58,7 +58,7 @@
 	addr      string
 	transport *http.Transport
 	// used is when a call last took the pool, in Unix seconds.
-	used atomic.Int64
+	lastUsed atomic.Int64
 }
 
 // ConnTimeouts says how the kernel finds out that the far end of a connection is gone.
@@ -76,25 +76,25 @@
 // connection within 2 s, and survives a lost packet.
 var (
 	SlowDetection = ConnTimeouts{
-		KeepAliveIdle: keepAliveIdle, KeepAliveInterval: keepAliveEvery, KeepAliveCount: keepAliveCount, UnackedTimeout: unackedBound, IdleTimeout: IdleTimeout, DialTimeout: DialTimeout,
+		KeepAliveIdle: keepAliveIdle, KeepAliveInterval: keepAliveInterval, KeepAliveCount: keepAliveCount, UnackedTimeout: unackedTimeout, IdleTimeout: IdleTimeout, DialTimeout: DialTimeout,
 	}
-	FastDetection = ConnTimeouts{KeepAliveIdle: time.Second, KeepAliveInterval: time.Second, KeepAliveCount: 2, UnackedTimeout: 1500 * time.Millisecond, IdleTimeout: swiftKept, DialTimeout: swiftDial}
+	FastDetection = ConnTimeouts{KeepAliveIdle: time.Second, KeepAliveInterval: time.Second, KeepAliveCount: 2, UnackedTimeout: 1500 * time.Millisecond, IdleTimeout: fastIdleTimeout, DialTimeout: fastDialTimeout}
 )
 
 // swiftDial is some hundred times the way between two data centres of one region.
 // A VM behind a cut doesn't answer at all, and a call that waits a second for it is
 // late; one whose first packet was lost goes to another endpoint as not run.
-const swiftDial = 300 * time.Millisecond
+const fastDialTimeout = 300 * time.Millisecond
 
 // swiftKept is half of the ten seconds after which the users' backend servers close
 // an idle connection. A booking sent in that moment is reset, and nobody can tell
 // whether it ran.
-const swiftKept = 5 * time.Second
+const fastIdleTimeout = 5 * time.Second
 
 // NewUpstreams returns empty pools. They open connections over TCP.
 func NewUpstreams(p ConnTimeouts) *Upstreams {
 	u := NewUpstreamsWithDialer(p.dialer().DialContext)
-	u.kept, u.dialBound = p.IdleTimeout, p.DialTimeout
+	u.idleTimeout, u.dialTimeout = p.IdleTimeout, p.DialTimeout
 	return u
 }
 
@@ -107,9 +107,9 @@
 
 // NewUpstreamsWithDialer returns empty pools that open connections by dial.
 func NewUpstreamsWithDialer(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Upstreams {
-	u := &Upstreams{kept: IdleTimeout, dialBound: DialTimeout}
+	u := &Upstreams{idleTimeout: IdleTimeout, dialTimeout: DialTimeout}
 	u.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		ctx, cancel := context.WithTimeout(ctx, u.dialBound)
+		ctx, cancel := context.WithTimeout(ctx, u.dialTimeout)
 		defer cancel()
 		return dial(ctx, network, addr)
 	}
@@ -130,11 +130,11 @@
 // address, a pool kept by address would lead calls for the new VM onto
 // connections that were proved to be the old one's, or the other way about.
 func (u *Upstreams) get(now time.Time, addr, vm string) *upstream {
-	name := nameOf(addr, vm)
+	name := poolName(addr, vm)
 	if p, ok := u.byName.Load(name); ok {
 		if up := p.(*upstream); up.addr == addr {
-			if s := now.Unix(); up.used.Load() != s {
-				up.used.Store(s)
+			if s := now.Unix(); up.lastUsed.Load() != s {
+				up.lastUsed.Store(s)
 			}
 			return up
 		}
@@ -144,7 +144,7 @@
 
 // nameOf returns the name of a pool. No VM's ID contains a colon, and every
 // address does.
-func nameOf(addr, vm string) string {
+func poolName(addr, vm string) string {
 	if vm != "" {
 		return vm
 	}
@@ -154,17 +154,17 @@
 func (u *Upstreams) add(now time.Time, addr, vm string) *upstream {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	name := nameOf(addr, vm)
+	name := poolName(addr, vm)
 	if p, ok := u.byName.Load(name); ok {
 		up := p.(*upstream)
 		if up.addr == addr {
 			return up
 		}
-		up.retire() // the VM came back under another address
+		up.closeIdle() // the VM came back under another address
 	}
 	u.dropUnused(now)
 	up := &upstream{addr: addr, transport: u.newTransport(vm)}
-	up.used.Store(now.Unix())
+	up.lastUsed.Store(now.Unix())
 	u.byName.Store(name, up)
 	return up
 }
@@ -174,7 +174,7 @@
 func (u *Upstreams) dropUnused(now time.Time) {
 	u.byName.Range(func(name, p any) bool {
 		up := p.(*upstream)
-		if now.Unix()-up.used.Load() > int64(upstreamUnused/time.Second) {
+		if now.Unix()-up.lastUsed.Load() > int64(maxUpstreamUnused/time.Second) {
 			u.byName.Delete(name)
 			up.transport.CloseIdleConnections()
 		}
@@ -185,19 +185,19 @@
 func (u *Upstreams) newTransport(vm string) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			if by, ok := dialBy(ctx); ok {
+			if by, ok := dialDeadline(ctx); ok {
 				var cancel context.CancelFunc
 				ctx, cancel = context.WithDeadline(ctx, by)
 				defer cancel()
 			}
-			return u.open(ctx, network, addr, vm)
+			return u.connect(ctx, network, addr, vm)
 		},
 		// The answer is passed on as it is.
 		DisableCompression:     true,
 		MaxIdleConns:           maxIdlePerAddr,
 		MaxIdleConnsPerHost:    maxIdlePerAddr,
-		IdleConnTimeout:        u.kept,
-		ExpectContinueTimeout:  expectContinue,
+		IdleConnTimeout:        u.idleTimeout,
+		ExpectContinueTimeout:  expectContinueTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		ReadBufferSize:         transportBuffer,
 		WriteBufferSize:        transportBuffer,
@@ -207,7 +207,7 @@
 // open dials and, between nodes, proves who answers. The transport takes the
 // connection for a plain one, which keeps it to HTTP/1.1, and conn counts what
 // the call itself writes, not what the handshake did.
-func (u *Upstreams) open(ctx context.Context, network, addr, vm string) (net.Conn, error) {
+func (u *Upstreams) connect(ctx context.Context, network, addr, vm string) (net.Conn, error) {
 	raw, err := u.dial(ctx, network, addr)
 	if err != nil {
 		return nil, err
@@ -229,12 +229,12 @@
 // past its bound. What cut off one connection has often cut off those opened
 // with it, and the next calls would each find that out for themselves. Calls
 // that are running keep their connections; new ones dial. Nothing is probed.
-func (up *upstream) retire() { up.transport.CloseIdleConnections() }
+func (up *upstream) closeIdle() { up.transport.CloseIdleConnections() }
 
 // Close closes all idle connections.
 func (u *Upstreams) Close() {
 	u.byName.Range(func(_, p any) bool {
-		p.(*upstream).retire()
+		p.(*upstream).closeIdle()
 		return true
 	})
 }
