--- a/internal/node/metrics_calls.go
+++ b/internal/node/metrics_calls.go
@@ -18,7 +18,7 @@
 	c.meters.LatencyParts(func(service string, part proxy.LatencyPart, h proxy.Histogram) {
 		writeHistogram(p, "marlpass_call_part_seconds", h, "service", service, "part", string(part))
 	})
-	c.entry.FreeShares(func(service string, share float64) {
+	c.entry.FreeSlotShares(func(service string, share float64) {
 		p.gauge("marlpass_call_free_slot_ratio", share, "service", service)
 	})
 	c.retries.each(func(service string, left float64) {
--- a/internal/proxy/baseline.go
+++ b/internal/proxy/baseline.go
@@ -26,8 +26,8 @@
 
 // Pick returns the next untried endpoint. It never offers a call to an endpoint for a free slot
 // only.
-func (p *RoundRobin) Pick(_ time.Time, t *config.Target, a Ask) (Choice, error) {
-	if a.Look != LookNot {
+func (p *RoundRobin) Pick(_ time.Time, t *config.Target, a PickInfo) (Choice, error) {
+	if a.Scope != NoSearch {
 		return nil, ErrTriedAll
 	}
 	m := p.endpoints.Load()
@@ -49,7 +49,7 @@
 func (p *RoundRobin) PickFixed(now time.Time, t *config.Target, key uint64, tried []string) (Choice, error) {
 	m := p.endpoints.Load()
 	if len(tried) > 0 || m == nil || len((*m)[t.Service]) == 0 {
-		return p.Pick(now, t, Ask{Tried: tried})
+		return p.Pick(now, t, PickInfo{Tried: tried})
 	}
 	all := (*m)[t.Service]
 	return (*baselineChoice)(&all[key%uint64(len(all))]), nil
--- a/internal/proxy/destination.go
+++ b/internal/proxy/destination.go
@@ -23,7 +23,7 @@
 	// SlotUse returns the slot usage of a backend server, for load reports and logs; nil means
 	// unknown.
 	SlotUse      func(Backend) SlotUse
-	Deduplicator Keeper
+	Deduplicator Deduplicator
 	Suspects     Suspects
 	Rollouts     Rollouts // nil if no rollouts are managed
 	Upstreams    *Upstreams
@@ -84,11 +84,11 @@
 	retried := r.Header[retry.HeaderRetried]
 	h.settled = first(r.Header, headerSettled) != ""
 	h.waited = parseWaited(r.Header)
-	h.once = first(r.Header, headerOnce) != ""
+	h.oneShot = first(r.Header, headerOnce) != ""
 	h.noWait = first(r.Header, headerNoWait) != ""
 	remoteMbps := parseLinkRate(r.Header)
 	dropHopByHop(r.Header)
-	dropOwn(r.Header)
+	dropInternal(r.Header)
 	if retried != nil {
 		r.Header[retry.HeaderRetried] = retried
 	}
@@ -203,7 +203,7 @@
 	a := d.execute(ctx, now, in, b, t)
 	if a.resp == nil {
 		d.inFlight.Add(-1)
-		if !a.busy() {
+		if !a.noFreeSlot() {
 			d.logFailure(now, in, b, &a)
 		}
 	}
--- a/internal/proxy/destination_log.go
+++ b/internal/proxy/destination_log.go
@@ -15,11 +15,11 @@
 
 // logLine starts a log line about a call at its destination.
 func (d *Destination) logLine(now time.Time, k decisions.Kind, in *inbound, b Backend) *zerolog.Event {
-	l := d.Decisions.Line(now, k, d.Dialect.ID(in.header))
-	if in.hop.waited > waitedLeast {
+	l := d.Decisions.Line(now, k, d.Dialect.CallID(in.header))
+	if in.hop.waited > minWaited {
 		l.Int64("before_ms", in.hop.waited.Milliseconds())
 	}
-	if in.hop.once {
+	if in.hop.oneShot {
 		l.Bool("once", true)
 	}
 	return l.Str("class", in.hop.class).Str("service", in.hop.service).Str("instance", in.hop.instance).
--- a/internal/proxy/destination_run.go
+++ b/internal/proxy/destination_run.go
@@ -32,25 +32,25 @@
 		ctx = context.WithoutCancel(ctx)
 	}
 	a := d.Upstreams.send(ctx, now, &outbound{
-		in: in.r, header: in.header, body: in.body, addr: h.backend.Addr, wait: remaining, stall: stallOf(h.target),
-		extra: d.Dialect.Attempt(remaining, h.backend.Instance),
+		in: in.r, header: in.header, body: in.body, addr: h.backend.Addr, answerTimeout: remaining, stallTimeout: stallTimeoutOf(h.target),
+		extra: d.Dialect.AttemptHeaders(remaining, h.backend.Instance),
 	})
 	if a.resp == nil {
 		return a
 	}
-	read := d.Dialect.Read(in.header, a.resp)
+	read := d.Dialect.ReadResponse(in.header, a.resp)
 	switch {
 	case read.Refusal != nil:
 		// Reads the short rest, so that the connection can be reused.
 		discard(a.resp)
 		return answer{refusal: read.Refusal, load: read.Load}
 	case read.Err != nil:
-		a.kill()
+		a.abort()
 		return answer{err: read.Err}
 	}
 	a.load = read.Load
 	dropHopByHop(a.resp.Header)
-	dropOwn(a.resp.Header)
+	dropInternal(a.resp.Header)
 	h.status, h.answeredAt = a.resp.StatusCode, d.Now()
 	if h.stored != nil {
 		h.stored.Status = a.resp.StatusCode
--- a/internal/proxy/link_room_test.go
+++ b/internal/proxy/link_room_test.go
@@ -10,9 +10,9 @@
 // of them while other VMs have room.
 func TestSearchContinuesAfterLinkFull(t *testing.T) {
 	full := &answer{refusal: &call.Refusal{Reason: call.ReasonLinkFull}}
-	for look, want := range map[Look]bool{LookNear: true, LookFar: true, LookNot: false} {
-		s := search{look: look}
-		if got := s.failed(full); got != want {
+	for look, want := range map[SearchScope]bool{SearchDataCentre: true, SearchRegion: true, NoSearch: false} {
+		s := slotSearch{scope: look}
+		if got := s.foundNoSlot(full); got != want {
 			t.Errorf("look %v: got %v", look, got)
 		}
 	}
--- a/internal/proxy/notrun.go
+++ b/internal/proxy/notrun.go
@@ -34,7 +34,7 @@
 // refusalIfUnsent returns a refusal if no byte of the attempt was or will be written, and nil
 // otherwise.
 func (a *attempt) refusalIfUnsent() *call.Refusal {
-	if !a.barConn() {
+	if !a.blockWrites() {
 		return nil
 	}
 	return &call.Refusal{Reason: call.ReasonUnreachable, RetryAfter: retryAfterUnreachable}
@@ -127,7 +127,7 @@
 	default:
 		h[headerDetail] = []string{r.Detail}
 	}
-	status, _ := ownDialect{}.Refused(r)
+	status, _ := ownDialect{}.RefusalStatus(r)
 	w.WriteHeader(status)
 }
 
@@ -139,7 +139,7 @@
 	if r.Detail == detailDeep {
 		h.Set(headerDeep, "1")
 	}
-	status, after := d.Refused(r)
+	status, after := d.RefusalStatus(r)
 	if after != "" {
 		h.Set("Retry-After", after)
 	}
@@ -188,7 +188,7 @@
 		return unknownNotStored
 	case errors.Is(err, errStoreDown):
 		return unknownStoreDown
-	case errors.Is(err, errWaited):
+	case errors.Is(err, errAnswerTimeout):
 		return unknownTimeout
 	case errors.Is(err, errBodyTooLong):
 		return unknownBodyTooLarge
--- a/internal/proxy/silent_test.go
+++ b/internal/proxy/silent_test.go
@@ -118,13 +118,13 @@
 	s.Listener = f
 	s.Start()
 	t.Cleanup(s.Close)
-	ups := NewUpstreams(SlowProbing)
+	ups := NewUpstreams(SlowDetection)
 	t.Cleanup(ups.Close)
 	path := "/warm"
 	send = func(ctx context.Context, wait time.Duration) answer {
 		r := httptest.NewRequest("POST", path, nil)
 		return ups.send(ctx, time.Now(), &outbound{in: r, header: http.Header{}, body: new(body),
-			addr: l.Addr().String(), wait: wait, stall: wait})
+			addr: l.Addr().String(), answerTimeout: wait, stallTimeout: wait})
 	}
 	var warm sync.WaitGroup
 	for range 2 {
