--- a/internal/follow/assurance.go
+++ b/internal/follow/assurance.go
@@ -35,7 +35,7 @@
 		return 0
 	}
 	depth := time.Duration(max(place.Depth, 1))
-	return s.set.AssureWithin*depth/(depth+2) - age
+	return s.set.MaxAssuranceAge*depth/(depth+2) - age
 }
 
 // askReader returns the node that last had an answer of the source, where this one is a feeder and
@@ -43,7 +43,7 @@
 // stands in for them, and hold no young assurance themselves.
 func (s *State) askReader(boot time.Duration, view *membership.View) (reader string, due bool) {
 	place := s.placeIn(view)
-	if s.set.AssureWithin == 0 || place.Depth > 0 || s.assureIn(boot, place) > 0 {
+	if s.set.MaxAssuranceAge == 0 || place.Depth > 0 || s.assureIn(boot, place) > 0 {
 		return "", false
 	}
 	reader = s.confirmed.Reader
--- a/internal/follow/contact.go
+++ b/internal/follow/contact.go
@@ -112,7 +112,7 @@
 // asks reports whether this node depends on others that it can ask. The reader that leads does
 // for assurances alone, where the source leaves it without an answer.
 func (s *State) asks(view *membership.View) bool {
-	return s.fed() && (len(s.placeIn(view).Parents) > 0 || s.set.AssureWithin > 0)
+	return s.fed() && (len(s.placeIn(view).Parents) > 0 || s.set.MaxAssuranceAge > 0)
 }
 
 // AskIn returns when to ask again. Where one did not confirm the version the next is asked at once.
@@ -130,7 +130,7 @@
 	}
 	age, _ := s.ConfirmedAge(now)
 	due := s.askAge(view) - age
-	if s.set.AssureWithin > 0 {
+	if s.set.MaxAssuranceAge > 0 {
 		due = min(due, s.assureIn(boot, s.placeIn(view)))
 	}
 	return max(due, c.nextAsk.Sub(now))
--- a/internal/follow/contact_test.go
+++ b/internal/follow/contact_test.go
@@ -121,7 +121,7 @@
 		if f.behind {
 			f.behind = false
 			f.mu.Unlock()
-			return nil, ErrBehind
+			return nil, ErrCompacted
 		}
 		newest, changed := f.newest, f.changed
 		if newest.Version().Newer(f.given) {
--- a/internal/follow/mesh_test.go
+++ b/internal/follow/mesh_test.go
@@ -125,8 +125,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		set := Defaults(id, records[id].VM.DataCentre, 100).Within(b.inForce)
-		set.AssureWithin = b.assured
+		set := Defaults(id, records[id].VM.DataCentre, 100).WithInForceBound(b.inForce)
+		set.MaxAssuranceAge = b.assured
 		n.runner = NewRunner(set,
 			Deps{Source: n, Views: &n.views, Client: n, Store: store, Log: zerolog.Nop()})
 	}
--- a/internal/follow/runner.go
+++ b/internal/follow/runner.go
@@ -135,7 +135,7 @@
 	defer r.mu.Unlock()
 	age, reader := r.state.ConfirmedAge(now)
 	c := &peerpb.Confirmation{AgeMs: distribute.CeilMilliseconds(age), Reader: reader}
-	if age, known := r.state.AssuredAge(boot); known && r.set.AssureWithin > 0 {
+	if age, known := r.state.AssuredAge(boot); known && r.set.MaxAssuranceAge > 0 {
 		ms := distribute.CeilMilliseconds(age)
 		c.AssuredAgeMs = &ms
 	}
--- a/internal/follow/source.go
+++ b/internal/follow/source.go
@@ -17,12 +17,12 @@
 	Next(ctx context.Context, hold time.Duration) (*config.Snapshot, error)
 }
 
-// ErrNone is what a Source returns while nothing was accepted yet.
-var ErrNone = errors.New("follow: no version is accepted yet")
+// ErrNoVersion is what a Source returns while nothing was accepted yet.
+var ErrNoVersion = errors.New("follow: no version is accepted yet")
 
-// ErrBehind is what a Source returns that answers, but was not asked for longer than it keeps
+// ErrCompacted is what a Source returns that answers, but was not asked for longer than it keeps
 // what has changed. Asked again, it gives the newest version whole.
-var ErrBehind = errors.New("follow: the changes since are not kept any more")
+var ErrCompacted = errors.New("follow: the changes since are not kept any more")
 
 // fromSource is what the log says of a version that came from the source.
 const fromSource = "source"
@@ -70,11 +70,11 @@
 			return
 		case errors.Is(err, errWithdrawn):
 			continue
-		case errors.Is(err, ErrNone):
+		case errors.Is(err, ErrNoVersion):
 			r.noteNone()
 			_ = wait.For(ctx, nonePause)
 			continue
-		case errors.Is(err, ErrBehind):
+		case errors.Is(err, ErrCompacted):
 			r.noteSource(nil)
 			_ = wait.For(ctx, rand.N(sourceRetry))
 			continue
--- a/internal/follow/state.go
+++ b/internal/follow/state.go
@@ -36,9 +36,9 @@
 	PeersFirst time.Duration
 	// InForceWithin is how soon after it was accepted a version is to be in force.
 	InForceWithin time.Duration
-	// AssureWithin is how old an assurance that the version held is the newest may grow
+	// MaxAssuranceAge is how old an assurance that the version held is the newest may grow
 	// before it is of no use; zero where nobody goes by it.
-	AssureWithin time.Duration
+	MaxAssuranceAge time.Duration
 }
 
 // Defaults returns the settings of a node.
@@ -55,15 +55,15 @@
 		AskFirst: 100 * time.Millisecond, PullGap: 200 * time.Millisecond, MaxClaims: 64,
 		JoinFirst: 250 * time.Millisecond, PeersFirst: 1500 * time.Millisecond,
 	}
-	return s.Within(DefaultInForceWithin)
+	return s.WithInForceBound(DefaultInForceWithin)
 }
 
 // tellTime is what a healthy source and a tell may take after the pause that a feeder makes
 // between two versions.
 const tellTime = 300 * time.Millisecond
 
-// Within returns s for versions that are to be in force so soon after they were accepted.
-func (s Settings) Within(bound time.Duration) Settings {
+// WithInForceBound returns s for versions that are to be in force so soon after they were accepted.
+func (s Settings) WithInForceBound(bound time.Duration) Settings {
 	s.InForceWithin = bound
 	s.PullDelay = s.confirmEvery() + tellTime
 	return s
--- a/internal/localmesh/rollout_test.go
+++ b/internal/localmesh/rollout_test.go
@@ -51,7 +51,7 @@
 
 func startRolloutMesh(t *testing.T, badShare float64) *rolloutMesh {
 	m := &rolloutMesh{inbox: rollout.NewInbox()}
-	m.order = rollout.Order{Service: rolloutService, Target: "v2", Within: rolloutTime, Revision: 1}
+	m.order = rollout.Order{Service: rolloutService, Target: "v2", TimeLimit: rolloutTime, Revision: 1}
 	o := options(DataCentre{Name: "dc1", Region: "west", VMs: 2 * rolloutServers})
 	o.Node = func(_ *VM, n *node.Options) { n.Orders, n.Inbox = oneOrder{m.order}, m.inbox }
 	m.testMesh = ready(t, o)
@@ -103,7 +103,7 @@
 	m.t.Helper()
 	var record rollout.Record
 	m.wait("a verdict", func(*node.Node) bool {
-		row, err := m.Store.Table().Get(m.ctx, rollout.Key(rolloutService))
+		row, err := m.Store.Table().Get(m.ctx, rollout.RecordKey(rolloutService))
 		if err != nil {
 			return false
 		}
--- a/internal/node/conduct.go
+++ b/internal/node/conduct.go
@@ -122,7 +122,7 @@
 	lease    *lease.Lease
 	heard    time.Time
 	revision uint64 // of the record's row
-	c        *rollout.Conductor
+	c        *rollout.Coordinator
 	final    time.Time // when the verdict was written
 	renewed  time.Time
 }
@@ -138,12 +138,12 @@
 		if !r.renew(ctx, now) {
 			return false
 		}
-		r.c.See(r.servers())
+		r.c.SetServers(r.servers())
 		if next, changed := r.c.Step(now); changed && !r.write(ctx, next) {
 			return false
 		}
 		r.tell(ctx, r.c.Messages())
-		if !r.final.IsZero() && (r.c.Told() || now.Sub(r.final) > tellFinal) {
+		if !r.final.IsZero() && (r.c.FinalAcknowledged() || now.Sub(r.final) > tellFinal) {
 			return true
 		}
 		if wait.For(ctx, max(0, r.set.Tick-time.Since(now))) != nil {
@@ -161,9 +161,9 @@
 	}
 	now := time.Now()
 	r.revision = revision
-	r.c = rollout.NewConductor(r.set, now, r.order, record, r.lease.Token(), r.elapsed(now, record))
+	r.c = rollout.NewCoordinator(r.set, now, r.order, record, r.lease.Token(), r.elapsed(now, record))
 	r.log.Info().Str("service", r.order.Service).Str("target", r.order.Target).Uint64("token", r.lease.Token()).
-		Str("phase", string(r.c.Record().Phase)).Dur("left", r.c.Left(now)).Msg("rollout: this node conducts it")
+		Str("phase", string(r.c.Record().Phase)).Dur("left", r.c.TimeLeft(now)).Msg("rollout: this node conducts it")
 	if record.Order == r.order.Revision {
 		return true
 	}
@@ -178,7 +178,7 @@
 		return own
 	}
 	noted := now.Sub(time.UnixMilli(record.Started))
-	if noted < own || noted > r.order.Within {
+	if noted < own || noted > r.order.TimeLimit {
 		return own
 	}
 	return noted
@@ -205,7 +205,7 @@
 func (r *oneRollout) write(ctx context.Context, record rollout.Record) bool {
 	ctx, cancel := context.WithTimeout(ctx, rolloutRead)
 	defer cancel()
-	key := rollout.Key(r.order.Service)
+	key := rollout.RecordKey(r.order.Service)
 	err := r.n.control.table.Commit(ctx, platform.Txn{
 		Conditions: []platform.Condition{r.lease.Condition(), {Key: key, Revision: r.revision}},
 		Writes: []platform.Write{
@@ -217,11 +217,11 @@
 		err = r.readBack(ctx, record)
 	}
 	r.log.Info().Str("service", r.order.Service).Str("target", record.Target).Str("phase", string(record.Phase)).
-		Str("reason", record.Reason).Dur("left", r.c.Left(time.Now())).Err(err).Msg("rollout: step")
+		Str("reason", record.Reason).Dur("left", r.c.TimeLeft(time.Now())).Err(err).Msg("rollout: step")
 	if err != nil {
 		return false
 	}
-	r.c.Wrote(record)
+	r.c.RecordWritten(record)
 	if record.Phase.Final() {
 		r.final = time.Now()
 	}
@@ -282,14 +282,14 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			r.c.Answered(time.Now(), m.VM, answers)
+			r.c.RecordReports(time.Now(), m.VM, answers)
 		})
 	}
 	wg.Wait()
 }
 
 // instruct tells the node of a VM, which may be this one.
-func (r *oneRollout) instruct(ctx context.Context, to *membership.ObservedRecord, m rollout.Message) ([]rollout.Answer, error) {
+func (r *oneRollout) instruct(ctx context.Context, to *membership.ObservedRecord, m rollout.Message) ([]rollout.ServerReport, error) {
 	q := encodeInstruction(m.Instruction)
 	if m.VM == r.n.self.ID {
 		return decodeAnswers(m.VM, r.n.rollouts.Instruct(q)), nil
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -156,9 +156,9 @@
 	if n.o.Source != nil {
 		set := follow.Defaults(n.self.ID, n.self.DataCentre, n.self.LinkMbps)
 		if bound := n.set.Versions.InForceWithin.Duration; bound > 0 {
-			set = set.Within(bound)
+			set = set.WithInForceBound(bound)
 		}
-		set.AssureWithin = n.set.Workspaces.ConfirmWithin.Duration
+		set.MaxAssuranceAge = n.set.Workspaces.ConfirmWithin.Duration
 		c.spread = follow.NewRunner(set, follow.Deps{
 			Source: n.o.Source, Views: &n.views, Client: c.peers, Store: wakingStore{n},
 			Log:       telemetry.Part(n.log, "follow"),
--- a/internal/node/rollout_peer.go
+++ b/internal/node/rollout_peer.go
@@ -15,7 +15,7 @@
 }
 
 func encodeInstruction(i rollout.Instruction) *peerpb.RolloutRequest {
-	grant := &peerpb.Grant{Calls: uint32(i.Grant.Calls), ValidMs: uint32(i.Grant.For.Milliseconds())}
+	grant := &peerpb.Grant{Calls: uint32(i.Grant.Calls), ValidMs: uint32(i.Grant.TTL.Milliseconds())}
 	for wire, kind := range grantKinds {
 		if kind == i.Grant.Kind {
 			grant.Kind = wire
@@ -34,15 +34,15 @@
 		Grant: rollout.Grant{
 			Kind:  grantKinds[q.GetGrant().GetKind()],
 			Calls: int(q.GetGrant().GetCalls()),
-			For:   time.Duration(q.GetGrant().GetValidMs()) * time.Millisecond,
+			TTL:   time.Duration(q.GetGrant().GetValidMs()) * time.Millisecond,
 		},
 	}
 }
 
-func decodeAnswers(vm string, list []*peerpb.RolloutServer) []rollout.Answer {
-	out := make([]rollout.Answer, len(list))
+func decodeAnswers(vm string, list []*peerpb.RolloutServer) []rollout.ServerReport {
+	out := make([]rollout.ServerReport, len(list))
 	for i, s := range list {
-		out[i] = rollout.Answer{
+		out[i] = rollout.ServerReport{
 			VM: vm, Instance: s.GetInstance(), Version: s.GetVersion(),
 			InFlight: int(s.GetInFlight()), Held: s.GetHeld(), Counts: decodeCounts(s.GetCounts()),
 		}
@@ -76,7 +76,7 @@
 		return nil
 	}
 	r.mu.Lock()
-	taken := r.guard(i.Service).Instruct(now, i)
+	taken := r.guard(i.Service).Apply(now, i)
 	if taken {
 		r.count(i)
 	}
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -39,14 +39,15 @@
 )
 
 // rollouts decides what the backend servers beside this node take while their service's
-// calls move to another version. It gives rollout.Guard the shape that the proxy asks for.
+// calls move to another version. It adapts rollout.AdmissionController to
+// the interface of the proxy.
 type rollouts struct {
 	n       *Node
 	log     zerolog.Logger
 	started time.Time
 
 	mu      sync.Mutex // guards guards and the servers' fields but for those on a call's path
-	guards  map[string]*rollout.Guard
+	guards  map[string]*rollout.AdmissionController
 	reading map[string]bool // services whose order is being read
 
 	servers atomic.Pointer[map[string]*versionedServer] // by instance
@@ -85,7 +86,7 @@
 func newRollouts(n *Node) *rollouts {
 	r := &rollouts{
 		n: n, log: telemetry.Part(n.log, "rollout"), started: time.Now(),
-		guards: make(map[string]*rollout.Guard), reading: make(map[string]bool),
+		guards: make(map[string]*rollout.AdmissionController), reading: make(map[string]bool),
 		wake: make(chan struct{}, 1),
 	}
 	r.servers.Store(&map[string]*versionedServer{})
@@ -183,13 +184,13 @@
 }
 
 // decide returns what a server takes now, and has the table asked where that can't be told.
-func (r *rollouts) decide(now time.Time, s *versionedServer, g *rollout.Guard) rollout.Admission {
+func (r *rollouts) decide(now time.Time, s *versionedServer, g *rollout.AdmissionController) rollout.Admission {
 	if r.n.o.Orders == nil {
 		return rollout.Admission{Open: true}
 	}
 	met := r.met(s)
 	a := g.Admit(now, s.version, met)
-	if at, ask := g.AskAt(s.version, met); ask && !a.Open && !now.Before(at) {
+	if at, ask := g.NextTableRead(s.version, met); ask && !a.Open && !now.Before(at) {
 		r.read(s.service)
 	}
 	return a
@@ -200,10 +201,10 @@
 		Str("target", record.Target).Str("phase", string(record.Phase)).Msg("rollout: what a backend server takes has changed")
 }
 
-func (r *rollouts) guard(service string) *rollout.Guard {
+func (r *rollouts) guard(service string) *rollout.AdmissionController {
 	g := r.guards[service]
 	if g == nil {
-		g = new(rollout.Guard)
+		g = new(rollout.AdmissionController)
 		r.guards[service] = g
 	}
 	return g
@@ -211,8 +212,8 @@
 
 // met looks for servers of other versions. One that has taken calls before they came is of
 // the version that they are to replace.
-func (r *rollouts) met(s *versionedServer) rollout.Met {
-	m := rollout.Met{Since: s.since}
+func (r *rollouts) met(s *versionedServer) rollout.OtherVersions {
+	m := rollout.OtherVersions{FirstSeen: s.since}
 	if s.settled || s.version == "" {
 		return m
 	}
@@ -223,8 +224,8 @@
 		}
 		for _, b := range record.Backends {
 			if b.Service == s.service && b.Version != "" && b.Version != s.version {
-				m.Others = true
-				m.OthersReady = m.OthersReady || b.State == membership.BackendReady
+				m.Present = true
+				m.Ready = m.Ready || b.State == membership.BackendReady
 			}
 		}
 	}
@@ -288,7 +289,7 @@
 			r.log.Warn().Str("service", service).Err(err).Msg("rollout: the order is not known")
 			return
 		}
-		r.guard(service).Learn(time.Now(), order, record)
+		r.guard(service).ApplyTable(time.Now(), order, record)
 		r.refresh()
 	}()
 }
@@ -306,7 +307,7 @@
 // loadRecord returns the record of a service with its row's revision; it is empty if there
 // is none.
 func loadRecord(ctx context.Context, table platform.Table, service string) (rollout.Record, uint64, error) {
-	row, err := table.Get(ctx, rollout.Key(service))
+	row, err := table.Get(ctx, rollout.RecordKey(service))
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
 		return rollout.Record{}, platform.Absent, nil
--- a/internal/rollout/conductor.go
+++ b/internal/rollout/conductor.go
@@ -19,8 +19,8 @@
 // key tells servers apart.
 func (s Server) key() string { return s.VM + "/" + s.Instance }
 
-// Answer is what a node said of one of its servers.
-type Answer struct {
+// ServerReport is what a node said of one of its servers.
+type ServerReport struct {
 	VM, Instance, Version string
 	InFlight              int
 	Held                  bool
@@ -33,28 +33,28 @@
 	Instruction
 }
 
-// Settings of a Conductor.
+// Settings of a Coordinator.
 type Settings struct {
 	// Share is the part of the service's calls that the canaries get.
 	Share float64
 	// Tick is the time between two steps.
 	Tick time.Duration
-	// Lapse is how long a grant lasts.
-	Lapse time.Duration
-	// Expand is for how long all servers of the target version take calls beside the
+	// GrantTTL is how long a grant lasts.
+	GrantTTL time.Duration
+	// BakeTime is for how long all servers of the target version take calls beside the
 	// baseline, before that drains.
-	Expand time.Duration
-	// Finish is what of the time is kept for the end: expanding, draining, writing.
-	Finish time.Duration
-	// Decide is how long before its end a rollout without enough evidence is rolled back.
-	Decide time.Duration
+	BakeTime time.Duration
+	// FinishReserve is what of the time is kept for the end: expanding, draining, writing.
+	FinishReserve time.Duration
+	// RollbackReserve is how long before its end a rollout without enough evidence is rolled back.
+	RollbackReserve time.Duration
 }
 
 // Defaults returns the settings of a product in use.
 func Defaults() Settings {
 	return Settings{
-		Share: 0.06, Tick: 500 * time.Millisecond, Lapse: 1500 * time.Millisecond,
-		Expand: 1200 * time.Millisecond, Finish: 6 * time.Second, Decide: time.Second,
+		Share: 0.06, Tick: 500 * time.Millisecond, GrantTTL: 1500 * time.Millisecond,
+		BakeTime: 1200 * time.Millisecond, FinishReserve: 6 * time.Second, RollbackReserve: time.Second,
 	}
 }
 
@@ -80,8 +80,8 @@
 	window = 8
 )
 
-// Conductor decides on one rollout. It isn't safe for concurrent use.
-type Conductor struct {
+// Coordinator decides on one rollout. It isn't safe for concurrent use.
+type Coordinator struct {
 	set     Settings
 	order   Order
 	record  Record
@@ -102,28 +102,28 @@
 	told      map[string]bool       // nodes that have answered to a final record
 }
 
-// NewConductor returns the conductor of an order, where record is what lasts of the
+// NewCoordinator returns the conductor of an order, where record is what lasts of the
 // service's rollouts and elapsed the time since the order as far as this node knows.
-func NewConductor(set Settings, now time.Time, o Order, r Record, token uint64, elapsed time.Duration) *Conductor {
+func NewCoordinator(set Settings, now time.Time, o Order, r Record, token uint64, elapsed time.Duration) *Coordinator {
 	if r.Order != o.Revision {
 		r = r.begin(o, now)
 	}
-	return &Conductor{
+	return &Coordinator{
 		set: set, order: o, record: r, token: token, started: now.Add(-max(elapsed, 0)),
 		counts: make(map[string]*history), failures: make(map[string]Failures), held: make(map[string]bool), told: make(map[string]bool),
 	}
 }
 
 // Record returns the record as it stands.
-func (c *Conductor) Record() Record { return c.record }
+func (c *Coordinator) Record() Record { return c.record }
 
-// Left returns how much of the rollout's time is left.
-func (c *Conductor) Left(now time.Time) time.Duration {
-	return c.order.Within - now.Sub(c.started)
+// TimeLeft returns how much of the rollout's time is left.
+func (c *Coordinator) TimeLeft(now time.Time) time.Duration {
+	return c.order.TimeLimit - now.Sub(c.started)
 }
 
-// Wrote notes that a record is in the table.
-func (c *Conductor) Wrote(r Record) {
+// RecordWritten notes that a record is in the table.
+func (c *Coordinator) RecordWritten(r Record) {
 	if r.Phase != c.record.Phase {
 		clear(c.held)
 		clear(c.told)
@@ -131,14 +131,14 @@
 	c.record = r
 }
 
-// See takes in the servers of the service.
-func (c *Conductor) See(servers []Server) {
+// SetServers takes in the servers of the service.
+func (c *Coordinator) SetServers(servers []Server) {
 	c.servers = slices.Clone(servers)
 	slices.SortFunc(c.servers, func(a, b Server) int { return cmp.Compare(a.key(), b.key()) })
 }
 
 // of returns the servers of the target version, or those of all others.
-func (c *Conductor) of(target bool) []Server {
+func (c *Coordinator) of(target bool) []Server {
 	var out []Server
 	for _, s := range c.servers {
 		if (s.Version == c.order.Target) == target && !s.Draining {
@@ -150,7 +150,7 @@
 
 // Step returns the record that is to be written now, if it isn't the one that stands.
 // It has to be written before the messages that follow from it are sent.
-func (c *Conductor) Step(now time.Time) (Record, bool) {
+func (c *Coordinator) Step(now time.Time) (Record, bool) {
 	if c.record.Phase.Final() {
 		return c.record, false
 	}
@@ -166,26 +166,26 @@
 // stepRunning judges the target version while the baseline takes calls as well. Once that
 // drains there is nothing of the same time to hold it against, and any trouble of the service
 // would condemn it.
-func (c *Conductor) stepRunning(now time.Time) (Record, bool) {
+func (c *Coordinator) stepRunning(now time.Time) (Record, bool) {
 	if !c.disturbed(now) {
 		c.collect()
 		if why := c.condemned(); why != "" {
 			return c.to(RolledBack, why), true
 		}
 	}
-	left := c.Left(now)
+	left := c.TimeLeft(now)
 	switch missing := c.missing(); {
-	case missing == "" && !c.expanding.IsZero() && now.Sub(c.expanding) >= c.set.Expand:
+	case missing == "" && !c.expanding.IsZero() && now.Sub(c.expanding) >= c.set.BakeTime:
 		return c.to(Draining, "no worse than the baseline"), true
-	case missing == "" && c.expanding.IsZero() && left <= c.set.Finish:
+	case missing == "" && c.expanding.IsZero() && left <= c.set.FinishReserve:
 		c.expanding = now
-	case left <= c.set.Decide && (missing != "" || c.expanding.IsZero()):
+	case left <= c.set.RollbackReserve && (missing != "" || c.expanding.IsZero()):
 		return c.to(RolledBack, "no evidence in time: "+cmp.Or(missing, "not all servers were in service")), true
 	}
 	return c.record, false
 }
 
-func (c *Conductor) to(p Phase, why string) Record {
+func (c *Coordinator) to(p Phase, why string) Record {
 	r := c.record
 	r.Phase, r.Reason = p, why
 	if p == Draining {
@@ -207,7 +207,7 @@
 }
 
 // missing returns what speaks against moving all calls to the target version, or "".
-func (c *Conductor) missing() string {
+func (c *Coordinator) missing() string {
 	target, baseline := len(c.of(true)), len(c.of(false))
 	if float64(target) < enoughServers*float64(baseline) || target == 0 {
 		return fmt.Sprintf("%d servers of version %s beside %d others", target, c.order.Target, baseline)
@@ -218,7 +218,7 @@
 			n += calls(h.last)
 		}
 	}
-	due := c.rate() * c.set.Share * c.order.Within.Seconds() / 4
+	due := c.rate() * c.set.Share * c.order.TimeLimit.Seconds() / 4
 	if float64(n) < min(fewestCalls, max(fewestRare, due)) {
 		return fmt.Sprintf("%d calls answered by version %s", n, c.order.Target)
 	}
@@ -226,7 +226,7 @@
 }
 
 // drained reports whether no call runs at the baseline, at any node in reach.
-func (c *Conductor) drained() bool {
+func (c *Coordinator) drained() bool {
 	for _, s := range c.servers {
 		if s.Version != c.order.Target && s.Reachable && !c.held[s.key()] {
 			return false
@@ -235,8 +235,8 @@
 	return true
 }
 
-// Told reports whether all nodes in reach have answered to the final record.
-func (c *Conductor) Told() bool {
+// FinalAcknowledged reports whether all nodes in reach have answered to the final record.
+func (c *Coordinator) FinalAcknowledged() bool {
 	for _, s := range c.servers {
 		if s.Reachable && !c.told[s.VM] {
 			return false
--- a/internal/rollout/conductor_test.go
+++ b/internal/rollout/conductor_test.go
@@ -12,7 +12,7 @@
 // play passes the whole time of a rollout, and what a conductor takes that comes last.
 func (m *model) play(lose func(tick int) bool) {
 	m.conduct()
-	for i := 0; m.now.Sub(m.begin) < m.order.Within+m.set.Finish; i++ {
+	for i := 0; m.now.Sub(m.begin) < m.order.TimeLimit+m.set.FinishReserve; i++ {
 		if lose != nil && lose(i) {
 			m.conductor = nil
 		} else if m.conductor == nil {
@@ -31,7 +31,7 @@
 		for seed := range *seeds {
 			m := newModel(seed, servers, float64(servers)*21, 14*time.Second, nil)
 			m.play(nil)
-			if m.record.Phase != Completed || m.cut > 0 || m.ended > m.order.Within {
+			if m.record.Phase != Completed || m.cut > 0 || m.ended > m.order.TimeLimit {
 				t.Fatalf("%d servers, seed %d: %s after %s (%s), %d calls cut off", servers, seed, m.record.Phase, m.ended, m.record.Reason, m.cut)
 			}
 		}
@@ -102,7 +102,7 @@
 		for seed := range *seeds {
 			m := newModel(seed, 62, 1300, 14*time.Second, bad)
 			m.conduct()
-			for m.now.Sub(m.begin) < m.order.Within+m.set.Finish {
+			for m.now.Sub(m.begin) < m.order.TimeLimit+m.set.FinishReserve {
 				if m.now.Sub(m.begin) == 4*time.Second {
 					m.killHalf()
 				}
@@ -127,7 +127,7 @@
 	for seed := range *seeds {
 		m := newModel(seed, 62, 1300, 14*time.Second, nil)
 		m.conduct()
-		for m.now.Sub(m.begin) < m.order.Within+time.Second {
+		for m.now.Sub(m.begin) < m.order.TimeLimit+time.Second {
 			if e := m.conductor.expanding; !e.IsZero() && m.now.Sub(e) >= m.set.Tick {
 				m.failing = 0.3
 			}
@@ -145,7 +145,7 @@
 	for seed := range *seeds {
 		m := newModel(seed, 62, 1300, 14*time.Second, nil)
 		m.conduct()
-		for m.now.Sub(m.begin) < m.order.Within+time.Second {
+		for m.now.Sub(m.begin) < m.order.TimeLimit+time.Second {
 			if m.record.Phase == Draining {
 				m.failing = 0.5
 			}
@@ -161,7 +161,7 @@
 func TestServersLostAtTheEnd(t *testing.T) {
 	m := newModel(1, 19, 400, 14*time.Second, nil)
 	m.conduct()
-	for m.now.Sub(m.begin) < m.order.Within+time.Second {
+	for m.now.Sub(m.begin) < m.order.TimeLimit+time.Second {
 		if m.now.Sub(m.begin) == 8500*time.Millisecond {
 			m.servers = m.servers[:len(m.servers)-15]
 		}
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -19,5 +19,5 @@
 // no server takes more than its last grant. Entry nodes know nothing of rollouts; they
 // see servers that take calls and servers that don't.
 //
-// Conductor, Guard and Compare are pure: the clock is an argument.
+// Coordinator, AdmissionController and Compare are pure: the clock is an argument.
 package rollout
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -25,9 +25,9 @@
 	at      time.Time
 }
 
-// Answered takes in what the node of a VM said of its servers, to a message of the phase
+// RecordReports takes in what the node of a VM said of its servers, to a message of the phase
 // that stands.
-func (c *Conductor) Answered(now time.Time, vm string, answers []Answer) {
+func (c *Coordinator) RecordReports(now time.Time, vm string, answers []ServerReport) {
 	c.told[vm] = true
 	for _, a := range answers {
 		key := Server{VM: vm, Instance: a.Instance}.key()
@@ -52,7 +52,7 @@
 // It guards a good version. The loss of many nodes at once fails calls for a moment, in
 // numbers that differ from server to server, and takes with it what was counted of them. What
 // was counted until then tells nothing of a version any more, and the moment itself neither.
-func (c *Conductor) disturbed(now time.Time) bool {
+func (c *Coordinator) disturbed(now time.Time) bool {
 	lost, known := 0, 0
 	for _, s := range c.sampled() {
 		h := c.counts[s.key()]
@@ -78,7 +78,7 @@
 }
 
 // collect takes in the failures of the last round.
-func (c *Conductor) collect() {
+func (c *Coordinator) collect() {
 	canaries, baseline := make(map[string]Counts), make(map[string]Counts)
 	for _, s := range c.sampled() {
 		h := c.counts[s.key()]
@@ -113,7 +113,7 @@
 // condemned returns why the target version is worse than the baseline, or "": over the
 // whole time, or lately. Servers whose nodes didn't answer the last messages tell nothing:
 // as many nodes are lost, those that are left would be held against the time before.
-func (c *Conductor) condemned() string {
+func (c *Coordinator) condemned() string {
 	whole, late := Evidence{Failures: c.failures}, Evidence{Failures: make(map[string]Failures)}
 	for _, round := range c.rounds {
 		mergeAll(late.Failures, round)
--- a/internal/rollout/grants.go
+++ b/internal/rollout/grants.go
@@ -5,14 +5,14 @@
 // canaries returns the servers of the target version that take calls while the rollout
 // runs: so many that their speeds are as mixed as the baseline's, and each gets a call a
 // tick.
-func (c *Conductor) canaries() []Server {
+func (c *Coordinator) canaries() []Server {
 	target := slices.DeleteFunc(c.of(true), func(s Server) bool { return !s.Reachable })
 	n := int(c.rate() * c.set.Share * c.set.Tick.Seconds())
 	return spread(target, min(max(n, fewestCanaries), mostCanaries))
 }
 
 // sampled returns the servers whose counts are compared.
-func (c *Conductor) sampled() []Server {
+func (c *Coordinator) sampled() []Server {
 	canaries := c.canaries()
 	if !c.expanding.IsZero() || c.record.Phase != Running {
 		canaries = spread(c.of(true), mostCanaries)
@@ -34,7 +34,7 @@
 }
 
 // Messages returns what is to be told to which nodes now.
-func (c *Conductor) Messages() []Message {
+func (c *Coordinator) Messages() []Message {
 	c.round++
 	grants := make(map[string]Grant)
 	switch {
@@ -46,7 +46,7 @@
 		}
 	case c.record.Phase == Draining || !c.expanding.IsZero():
 		for _, s := range c.of(true) {
-			grants[s.VM] = Grant{Kind: GrantOpen, For: c.set.Lapse}
+			grants[s.VM] = Grant{Kind: GrantOpen, TTL: c.set.GrantTTL}
 		}
 		for _, s := range c.of(false) {
 			if c.record.Phase == Draining && !c.held[s.key()] {
@@ -62,7 +62,7 @@
 
 // sample adds those whose counts are compared; while the rollout runs, the canaries get
 // their part of the calls.
-func (c *Conductor) sample(grants map[string]Grant) {
+func (c *Coordinator) sample(grants map[string]Grant) {
 	for _, s := range c.sampled() {
 		if _, told := grants[s.VM]; !told {
 			grants[s.VM] = Grant{}
@@ -75,7 +75,7 @@
 
 // grant gives the canaries their calls until the next tick. What doesn't divide goes to
 // other ones each time.
-func (c *Conductor) grant(canaries []Server, grants map[string]Grant) {
+func (c *Coordinator) grant(canaries []Server, grants map[string]Grant) {
 	n := len(canaries)
 	if n == 0 {
 		return
@@ -91,13 +91,13 @@
 		if (i+c.ticks)%n < whole%n {
 			calls++
 		}
-		grants[s.VM] = Grant{Kind: GrantLimited, Calls: calls, For: c.set.Lapse}
+		grants[s.VM] = Grant{Kind: GrantLimited, Calls: calls, TTL: c.set.GrantTTL}
 	}
 	c.ticks++
 }
 
 // rate returns the calls a second of the whole service, or zero if it isn't known.
-func (c *Conductor) rate() float64 {
+func (c *Coordinator) rate() float64 {
 	var rate float64
 	known := 0
 	for _, h := range c.counts {
@@ -112,7 +112,7 @@
 	return rate / float64(known) * float64(len(c.of(false)))
 }
 
-func (c *Conductor) messages(grants map[string]Grant) []Message {
+func (c *Coordinator) messages(grants map[string]Grant) []Message {
 	vms := make([]string, 0, len(grants))
 	c.asked = make(map[string]bool, len(grants))
 	for vm := range grants {
--- a/internal/rollout/guard.go
+++ b/internal/rollout/guard.go
@@ -19,8 +19,8 @@
 type Grant struct {
 	Kind  GrantKind
 	Calls int
-	// For is how long the grant lasts without another.
-	For time.Duration
+	// TTL is how long the grant lasts without another.
+	TTL time.Duration
 }
 
 // Instruction is what a conductor tells a node.
@@ -45,9 +45,9 @@
 	Until time.Time
 }
 
-// Guard decides what the servers of one service beside a node take, by their version.
+// AdmissionController decides what the servers of one service beside a node take, by their version.
 // It isn't safe for concurrent use.
-type Guard struct {
+type AdmissionController struct {
 	record Record
 	token  uint64
 	grant  Grant
@@ -69,28 +69,28 @@
 	patience = 3 * time.Second
 )
 
-// Instruct takes in what a conductor says. It reports whether that was news, and not the
+// Apply takes in what a conductor says. It reports whether that was news, and not the
 // word of one whose lease another has taken since.
-func (g *Guard) Instruct(now time.Time, i Instruction) bool {
+func (g *AdmissionController) Apply(now time.Time, i Instruction) bool {
 	if i.Order < g.record.Order || i.Order == g.record.Order && i.Token < g.token {
 		return false
 	}
 	if i.Order == g.record.Order && g.record.Phase.Final() && i.Phase != g.record.Phase {
 		return false
 	}
-	next := Record{Order: i.Order, Target: i.Target, Phase: i.Phase, Replaced: i.Replaced, Condemned: g.record.Condemned}
+	next := Record{Order: i.Order, Target: i.Target, Phase: i.Phase, Replaced: i.Replaced, Rejected: g.record.Rejected}
 	if i.Order > g.record.Order {
-		next.Condemned = g.record.begin(Order{Target: i.Target, Revision: i.Order}, now).Condemned
+		next.Rejected = g.record.begin(Order{Target: i.Target, Revision: i.Order}, now).Rejected
 	}
 	g.record, g.token, g.grant, g.heard = next, i.Token, i.Grant, now
-	g.until = now.Add(i.Grant.For)
+	g.until = now.Add(i.Grant.TTL)
 	g.settled = true
 	return true
 }
 
-// Learn takes in what the table holds: the newest order, and the record, which may be
+// ApplyTable takes in what the table holds: the newest order, and the record, which may be
 // of an earlier one or empty.
-func (g *Guard) Learn(now time.Time, o Order, r Record) {
+func (g *AdmissionController) ApplyTable(now time.Time, o Order, r Record) {
 	g.settled, g.heard = true, now
 	if o.Revision > r.Order {
 		r = r.begin(o, now)
@@ -105,16 +105,16 @@
 }
 
 // Record returns what the guard goes by.
-func (g *Guard) Record() Record { return g.record }
-
-// Met says what other servers of the service a node sees.
-type Met struct {
-	// Others says that some have another version.
-	Others bool
-	// OthersReady says that some of those take calls.
-	OthersReady bool
-	// Since is when the server was first met without an answer of the table.
-	Since time.Time
+func (g *AdmissionController) Record() Record { return g.record }
+
+// OtherVersions says what other servers of the service a node sees.
+type OtherVersions struct {
+	// Present says that some have another version.
+	Present bool
+	// Ready says that some of those take calls.
+	Ready bool
+	// FirstSeen is when the server was first met without an answer of the table.
+	FirstSeen time.Time
 }
 
 // Admit returns what a server takes.
@@ -122,19 +122,19 @@
 // A server whose version isn't the only one of its service waits until the table was
 // read: it may belong to a rollout that this node, which has perhaps just started,
 // hasn't heard of.
-func (g *Guard) Admit(now time.Time, version string, m Met) Admission {
+func (g *AdmissionController) Admit(now time.Time, version string, m OtherVersions) Admission {
 	open := Admission{Open: true}
 	switch {
 	case version == "":
 		return open
 	case g.record.Order == 0:
-		if g.settled || !m.Others || !m.OthersReady && now.Sub(m.Since) >= patience {
+		if g.settled || !m.Present || !m.Ready && now.Sub(m.FirstSeen) >= patience {
 			return open
 		}
 		return Admission{}
 	case version == g.record.Target:
 		return g.admitTarget(now)
-	case slices.Contains(g.record.Condemned, version):
+	case slices.Contains(g.record.Rejected, version):
 		return Admission{}
 	case g.record.Phase == Draining || g.record.Phase == Completed:
 		return Admission{Open: !slices.Contains(g.record.Replaced, version)}
@@ -142,7 +142,7 @@
 	return open
 }
 
-func (g *Guard) admitTarget(now time.Time) Admission {
+func (g *AdmissionController) admitTarget(now time.Time) Admission {
 	switch {
 	case g.record.Phase == Completed:
 		return Admission{Open: true}
@@ -159,14 +159,14 @@
 	return Admission{Open: true, Until: g.until}
 }
 
-// AskAt returns when the table should be read for a server that is held, and false if it
+// NextTableRead returns when the table should be read for a server that is held, and false if it
 // needn't be.
-func (g *Guard) AskAt(version string, m Met) (time.Time, bool) {
+func (g *AdmissionController) NextTableRead(version string, m OtherVersions) (time.Time, bool) {
 	switch {
-	case version == "" || g.record.Phase.Final() || g.record.Order == 0 && (g.settled || !m.Others):
+	case version == "" || g.record.Phase.Final() || g.record.Order == 0 && (g.settled || !m.Present):
 		return time.Time{}, false
 	case g.heard.IsZero():
-		return m.Since, true
+		return m.FirstSeen, true
 	}
 	return g.heard.Add(askEvery), true
 }
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -36,7 +36,7 @@
 type modelServer struct {
 	Server
 	speed    float64
-	guard    Guard
+	guard    AdmissionController
 	tally    *Tally
 	busy     []time.Time // ends of the calls that run
 	left     int
@@ -58,7 +58,7 @@
 
 	record    Record // in the table
 	token     uint64
-	conductor *Conductor
+	conductor *Coordinator
 
 	total, exposed int // calls since the order, and those that the new version ran
 	badAnswers     int
@@ -78,7 +78,7 @@
 	m := &model{
 		rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_700_000_000, 0), set: Defaults(),
 		rate: rate, failing: 0.004, bad: bad,
-		order: Order{Service: "s", Target: newVersion, Within: within, Revision: 7},
+		order: Order{Service: "s", Target: newVersion, TimeLimit: within, Revision: 7},
 	}
 	m.begin = m.now
 	for _, version := range []string{oldVersion, newVersion} {
@@ -95,7 +95,7 @@
 // conduct makes a new conductor, as after the loss of the one before.
 func (m *model) conduct() {
 	m.token++
-	m.conductor = NewConductor(m.set, m.now, m.order, m.record, m.token, m.now.Sub(m.begin))
+	m.conductor = NewCoordinator(m.set, m.now, m.order, m.record, m.token, m.now.Sub(m.begin))
 	m.record = m.conductor.Record()
 }
 
@@ -116,10 +116,10 @@
 	for _, s := range m.servers {
 		seen = append(seen, s.Server)
 	}
-	m.conductor.See(seen)
+	m.conductor.SetServers(seen)
 	if next, changed := m.conductor.Step(m.now); changed {
 		m.record = next
-		m.conductor.Wrote(next)
+		m.conductor.RecordWritten(next)
 		if next.Phase.Final() {
 			m.ended = m.now.Sub(m.begin)
 		}
@@ -128,8 +128,8 @@
 	for _, message := range m.conductor.Messages() {
 		for _, s := range m.servers {
 			if s.VM == message.VM && s.Reachable {
-				s.guard.Instruct(m.now, message.Instruction)
-				m.conductor.Answered(m.now, s.VM, []Answer{m.answer(s)})
+				s.guard.Apply(m.now, message.Instruction)
+				m.conductor.RecordReports(m.now, s.VM, []ServerReport{m.answer(s)})
 			}
 		}
 	}
@@ -140,8 +140,8 @@
 func (m *model) killHalf() {
 	for i, s := range m.servers {
 		if i%2 == 0 {
-			s.guard, s.tally = Guard{}, new(Tally)
-			s.guard.Learn(m.now, m.order, m.record)
+			s.guard, s.tally = AdmissionController{}, new(Tally)
+			s.guard.ApplyTable(m.now, m.order, m.record)
 		} else if s.Version == newVersion {
 			for n := range 6 {
 				s.tally.Add(modelClass, time.Second, true, n%2 == 0)
@@ -162,9 +162,9 @@
 	}
 }
 
-func (m *model) answer(s *modelServer) Answer {
+func (m *model) answer(s *modelServer) ServerReport {
 	a := s.admission(m.now)
-	return Answer{
+	return ServerReport{
 		VM: s.VM, Instance: s.Instance, Version: s.Version, InFlight: s.inFlight(m.now), Held: !a.Open, Counts: s.tally.Load(),
 	}
 }
@@ -180,7 +180,7 @@
 }
 
 func (s *modelServer) admission(now time.Time) Admission {
-	a := s.guard.Admit(now, s.Version, Met{Others: true, OthersReady: true})
+	a := s.guard.Admit(now, s.Version, OtherVersions{Present: true, Ready: true})
 	if s.Version == oldVersion && s.guard.Record().Order == 0 {
 		a = Admission{Open: true} // it was there before the others
 	}
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -15,8 +15,8 @@
 	Service string
 	// Target is the version that the service's calls are to move to.
 	Target string
-	// Within is how long the rollout may take from the order on.
-	Within time.Duration
+	// TimeLimit is how long the rollout may take from the order on.
+	TimeLimit time.Duration
 	// Revision is that of the order's row: a later order of the same service has a
 	// higher one.
 	Revision uint64
@@ -36,7 +36,7 @@
 		return ErrNoService
 	case o.Target == "":
 		return ErrNoTarget
-	case o.Within <= 0:
+	case o.TimeLimit <= 0:
 		return ErrTooShort
 	}
 	return nil
@@ -71,13 +71,13 @@
 	// Replaced names the versions that the target takes the place of, once the
 	// baseline drains.
 	Replaced []string `json:"replaced,omitempty"`
-	// Condemned names the versions that were rolled back and not ordered since, the
+	// Rejected names the versions that were rolled back and not ordered since, the
 	// latest last.
-	Condemned []string `json:"condemned,omitempty"`
+	Rejected []string `json:"condemned,omitempty"`
 }
 
-// Key returns the key of the record of a service.
-func Key(service string) string { return platform.RolloutPrefix + service }
+// RecordKey returns the key of the record of a service.
+func RecordKey(service string) string { return platform.RolloutPrefix + service }
 
 // Encode returns the value of the row.
 func (r Record) Encode() []byte {
@@ -100,7 +100,7 @@
 // begin returns the record of a new order, after the one before.
 func (r Record) begin(o Order, now time.Time) Record {
 	condemned := make([]string, 0, maxCondemned)
-	for _, v := range r.Condemned {
+	for _, v := range r.Rejected {
 		if v != o.Target {
 			condemned = append(condemned, v)
 		}
@@ -109,7 +109,7 @@
 		condemned = append(condemned, r.Target)
 	}
 	condemned = condemned[max(0, len(condemned)-maxCondemned):]
-	return Record{Order: o.Revision, Target: o.Target, Phase: Running, Started: now.UnixMilli(), Condemned: condemned}
+	return Record{Order: o.Revision, Target: o.Target, Phase: Running, Started: now.UnixMilli(), Rejected: condemned}
 }
 
 // Orders reads operators' orders and writes what they read of them.
--- a/internal/rollout/property_test.go
+++ b/internal/rollout/property_test.go
@@ -38,8 +38,8 @@
 		x.pick().Reachable = true
 	case "restart":
 		s := x.pick()
-		s.guard, s.tally = Guard{}, new(Tally)
-		s.guard.Learn(x.m.now, x.m.order, x.m.record)
+		s.guard, s.tally = AdmissionController{}, new(Tally)
+		s.guard.ApplyTable(x.m.now, x.m.order, x.m.record)
 	}
 }
 
@@ -56,7 +56,7 @@
 		m := newModel(rapid.Uint64Range(0, 1<<20).Draw(t, "seed"), 19, 400, 14*time.Second, bad)
 		m.conduct()
 		var verdict Phase
-		for m.now.Sub(m.begin) < m.order.Within+2*m.set.Finish {
+		for m.now.Sub(m.begin) < m.order.TimeLimit+2*m.set.FinishReserve {
 			trouble{m, t}.happen()
 			m.tick()
 			if verdict.Final() && m.record.Phase != verdict {
