--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -6,14 +6,14 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// Spread hands a version to a node as if it had been accepted there.
-func (n *Node) Spread(d *config.Delta) { n.control.spread.Accepted(d) }
+// AcceptVersion hands a version to a node as if it had been accepted there.
+func (n *Node) AcceptVersion(d *config.Delta) { n.control.spread.Accepted(d) }
 
 // Snapshot returns the snapshot in force.
 func (n *Node) Snapshot() *config.Snapshot { return n.snapshot() }
 
-// SeenRefusal returns which version this node knows another to have refused.
-func (n *Node) SeenRefusal(vm string) (version uint64, reason string) {
+// ObservedRefusal returns which version this node knows another to have refused.
+func (n *Node) ObservedRefusal(vm string) (version uint64, reason string) {
 	r := n.views.Load().Records[vm]
 	if r == nil {
 		return 0, ""
@@ -24,8 +24,8 @@
 // BreakListener closes the socket for callers under the node's feet.
 func BreakListener(n *Node) { n.ln.callers.Close() }
 
-// GateKnows reports whether every gate of the node knows the class.
-func (n *Node) GateKnows(class string) bool {
+// GatesHaveClass reports whether every gate of the node knows the class.
+func (n *Node) GatesHaveClass(class string) bool {
 	for _, gate := range *n.calls.gates.byInstance.Load() {
 		known := false
 		for _, s := range gate.Stats(time.Now()) {
@@ -38,5 +38,5 @@
 	return true
 }
 
-// OfferNow puts a version in force as the spreading does.
-func (n *Node) OfferNow(s *config.Snapshot) (bool, error) { return wakingStore{n}.Offer(s) }
+// OfferSnapshot puts a version in force as the spreading does.
+func (n *Node) OfferSnapshot(s *config.Snapshot) (bool, error) { return wakingStore{n}.Offer(s) }
--- a/internal/node/gates_test.go
+++ b/internal/node/gates_test.go
@@ -20,10 +20,10 @@
 		bulk.Match.PathPrefix += "/" + bulk.Name
 		next, _, err := n.Snapshot().Next([]config.Object{config.EncodeTarget(bulk)}, nil)
 		w.must(err)
-		if ok, err := n.OfferNow(next); !ok {
+		if ok, err := n.OfferSnapshot(next); !ok {
 			t.Fatal("the version is not in force:", err)
 		}
-		if !n.GateKnows(bulk.Name) {
+		if !n.GatesHaveClass(bulk.Name) {
 			t.Fatalf("version %d is in force, and a gate does not know %s", next.Version().Number, bulk.Name)
 		}
 	}
--- a/internal/node/policies.go
+++ b/internal/node/policies.go
@@ -14,8 +14,8 @@
 	FixedLimit bool
 	// Retrier decides on retries; nil takes the node's own.
 	Retrier proxy.Retrier
-	// NoKeeper runs keyed calls without a claim.
-	NoKeeper bool
+	// NoDeduplication runs keyed calls without a claim.
+	NoDeduplication bool
 	// NoQuarantine keeps no request from running.
 	NoQuarantine bool
 }
@@ -28,7 +28,7 @@
 func Baseline() Policies {
 	return Policies{
 		RoundRobin: true, FixedLimit: true, Retrier: proxy.RetryAlwaysUpTo(baselineAttempts),
-		NoKeeper: true, NoQuarantine: true,
+		NoDeduplication: true, NoQuarantine: true,
 	}
 }
 
@@ -37,7 +37,7 @@
 	if p.FixedLimit {
 		parts.Gates = new(proxy.FixedLimit)
 	}
-	if p.NoKeeper {
+	if p.NoDeduplication {
 		parts.Keeper = nil
 	}
 	if p.NoQuarantine {
--- a/internal/node/refused_test.go
+++ b/internal/node/refused_test.go
@@ -41,10 +41,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.VMs[0].Node().Spread(delta)
+	m.VMs[0].Node().AcceptVersion(delta)
 	told := func(n *node.Node) bool {
 		for _, vm := range m.VMs {
-			version, reason := n.SeenRefusal(vm.ID)
+			version, reason := n.ObservedRefusal(vm.ID)
 			if version != delta.To.Number || !strings.Contains(reason, "hedge") {
 				return false
 			}
--- a/internal/node/workspaces_test.go
+++ b/internal/node/workspaces_test.go
@@ -37,7 +37,7 @@
 	for _, vm := range w.VMs {
 		next, _, err := vm.Node().Snapshot().Next([]config.Object{config.EncodeWorkspace(yard)}, nil)
 		w.must(err)
-		if ok, err := vm.Node().OfferNow(next); !ok {
+		if ok, err := vm.Node().OfferSnapshot(next); !ok {
 			w.t.Fatal("the version is not in force:", err)
 		}
 	}
