--- a/internal/node/callpath.go
+++ b/internal/node/callpath.go
@@ -15,29 +15,29 @@
 	"github.com/marlpass/marlpass/internal/telemetry"
 )
 
-// flushEvery is the time between two looks for outcomes that the platform lacks.
-const flushEvery = 2 * time.Second
+// flushInterval is the time between two looks for outcomes that the platform lacks.
+const flushInterval = 2 * time.Second
 
 // callPath holds what a call goes through at this node.
 type callPath struct {
-	n         *Node
-	pickers   *pickers
-	gates     *gates
-	suspects  *suspects
-	keeper    *once.Keeper
-	upstreams *proxy.Upstreams // to backend servers
-	nodes     *proxy.Upstreams // to other nodes
-	entry     *proxy.Entry
-	dest      *proxy.Destination
-	meters    *proxy.Meters
-	retries   *retries
-	draining  atomic.Bool
-	decisions *decisions.Log
-	endTrace  func(context.Context) error
+	n               *Node
+	pickers         *pickers
+	gates           *gates
+	suspects        *suspects
+	dedup           *once.Keeper
+	upstreams       *proxy.Upstreams // to backend servers
+	nodes           *proxy.Upstreams // to other nodes
+	entry           *proxy.Entry
+	dest            *proxy.Destination
+	meters          *proxy.Meters
+	retries         *retries
+	draining        atomic.Bool
+	decisions       *decisions.Log
+	shutdownTracing func(context.Context) error
 }
 
 func newCallPath(n *Node) (*callPath, error) {
-	provider, endTrace, err := telemetry.NewTracerProvider(context.Background(), telemetry.TraceOptions{
+	provider, shutdownTracing, err := telemetry.NewTracerProvider(context.Background(), telemetry.TraceOptions{
 		Endpoint:   n.set.Trace.Endpoint,
 		Sample:     n.set.Trace.Sample,
 		Service:    "marlpass-node",
@@ -48,36 +48,36 @@
 		return nil, err
 	}
 	c := &callPath{
-		n:         n,
-		pickers:   newPickers(n.self, n.o.Source != nil),
-		gates:     newGates(),
-		keeper:    once.New(once.Options{Table: n.control.table, Holder: n.self.ID}),
-		upstreams: n.upstreams(),
-		nodes:     n.upstreams().Secured(n.control.trust.secure()),
-		meters:    proxy.NewMeters(),
-		retries:   &retries{set: n.set.Retries},
-		decisions: decisions.New(telemetry.Part(n.log, "calls"), n.o.LostLines),
-		endTrace:  endTrace,
+		n:               n,
+		pickers:         newPickers(n.self, n.o.Source != nil),
+		gates:           newGates(),
+		dedup:           once.New(once.Options{Table: n.control.table, Holder: n.self.ID}),
+		upstreams:       n.upstreams(),
+		nodes:           n.upstreams().Secured(n.control.trust.secure()),
+		meters:          proxy.NewMeters(),
+		retries:         &retries{set: n.set.Retries},
+		decisions:       decisions.New(telemetry.Part(n.log, "calls"), n.o.LostLines),
+		shutdownTracing: shutdownTracing,
 	}
 	c.pickers.onEject = c.logEjection
 	c.suspects = &suspects{
-		list:    quarantine.New(time.Now(), quarantine.Options{Self: n.self.ID}),
-		log:     telemetry.Part(n.log, "quarantine"),
-		alerter: n.control,
-		changed: n.control.notices,
-		chosen:  c.pickers.fixed,
+		list:          quarantine.New(time.Now(), quarantine.Options{Self: n.self.ID}),
+		log:           telemetry.Part(n.log, "quarantine"),
+		alerter:       n.control,
+		setNotices:    n.control.notices,
+		endpointByKey: c.pickers.endpointByKey,
 	}
 	tracer := proxy.NewTracer(provider)
 	programs := programs{n.store}
 	link := proxy.NewLink(n.set.VM.LinkMbps)
 	c.dest = proxy.NewDestination(n.o.Policies.destinationParts(proxy.DestinationParts{
-		Programs: programs, Backends: backends{n.registry}, Gates: c.gates, SlotUse: c.gates.use,
-		Keeper: keeper{c.keeper}, Suspects: c.suspects, Rollouts: n.rollouts, Upstreams: c.upstreams, Tracer: tracer,
+		Programs: programs, Backends: backends{n.registry}, Gates: c.gates, SlotUse: c.gates.slotUse,
+		Keeper: dedupAdapter{c.dedup}, Suspects: c.suspects, Rollouts: n.rollouts, Upstreams: c.upstreams, Tracer: tracer,
 		Dialect: n.o.Dialect, Decisions: c.decisions,
 		Spool: n.spool(), Link: link,
 	}))
 	c.entry = proxy.NewEntry(n.o.Policies.entryParts(proxy.EntryParts{
-		Self: n.self.ID, Programs: programs, Starting: n.start, Admitter: admission{c}, Pickers: c.pickers,
+		Self: n.self.ID, Programs: programs, Starting: n.start, Admitter: nodeAdmitter{c}, Pickers: c.pickers,
 		Retrier: c.retries, Suspects: c.suspects, Workspaces: n.workspaces, Local: c.dest, Upstreams: c.nodes,
 		Meters: c.meters, Tracer: tracer, Dialect: n.o.Dialect,
 		WaitOut: n.o.Source != nil, Decisions: c.decisions,
@@ -95,16 +95,16 @@
 	return proxy.NewUpstreams(proxy.SlowProbing)
 }
 
-// spoolPart is the part of the process's memory that answers on their way may
+// spoolMemoryDivisor is the part of the process's memory that answers on their way may
 // take. The rest of a node of 1,200 needs about 30 MB, of the smallest VMs' 112.
-const spoolPart = 8
+const spoolMemoryDivisor = 8
 
 // spool returns what takes answers in, where the memory is known.
 func (n *Node) spool() *proxy.Spool {
 	if n.set.VM.MemoryMB == 0 {
 		return nil
 	}
-	return proxy.NewSpool(int64(n.set.VM.MemoryMB) << 20 / spoolPart)
+	return proxy.NewSpool(int64(n.set.VM.MemoryMB) << 20 / spoolMemoryDivisor)
 }
 
 func (c *callPath) logEjection(endpoint string, ejected bool, failing float64) {
@@ -112,10 +112,10 @@
 		Float64("failing", failing).Msg("route: an endpoint is ejected for its failures, or back")
 }
 
-// upkeep tells what this node holds of suspects, and stores outcomes that the
+// runBackground tells what this node holds of suspects, and stores outcomes that the
 // platform lacks, until ctx ends.
-func (c *callPath) upkeep(ctx context.Context) {
-	ticker := time.NewTicker(flushEvery)
+func (c *callPath) runBackground(ctx context.Context) {
+	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	summary := time.NewTicker(decisions.SummaryEvery)
 	defer summary.Stop()
@@ -126,9 +126,9 @@
 		case <-summary.C:
 			c.decisions.Summarise()
 		case <-ticker.C:
-			c.suspects.tell(time.Now())
-			c.suspects.forget(time.Now(), c.n.registry.Load())
-			if err := c.keeper.Flush(ctx); err != nil && ctx.Err() == nil {
+			c.suspects.publishNotices(time.Now())
+			c.suspects.pruneBackends(time.Now(), c.n.registry.Load())
+			if err := c.dedup.Flush(ctx); err != nil && ctx.Err() == nil {
 				c.n.log.Warn().Err(err).Msg("once: outcomes are not stored yet")
 			}
 		}
@@ -141,29 +141,29 @@
 	c.dest.Drain()
 }
 
-// wait returns when all that follows a call is done.
-func (c *callPath) wait() {
+// shutdown returns when all that follows a call is done.
+func (c *callPath) shutdown() {
 	c.dest.Wait()
-	c.suspects.running.Wait()
+	c.suspects.checksRunning.Wait()
 	ctx, cancel := context.WithTimeout(context.Background(), stopGrace)
 	defer cancel()
-	if err := c.keeper.Flush(ctx); err != nil {
+	if err := c.dedup.Flush(ctx); err != nil {
 		c.n.log.Error().Err(err).Msg("once: outcomes could not be stored before the stop")
 	}
 	c.upstreams.Close()
 	c.nodes.Close()
-	_ = c.endTrace(ctx)
+	_ = c.shutdownTracing(ctx)
 }
 
-// admission refuses calls while the node may not carry traffic: a node that has
+// nodeAdmitter refuses calls while the node may not carry traffic: a node that has
 // just started may hold an older version than it held before, and one that
 // drains takes no new calls.
-type admission struct{ c *callPath }
+type nodeAdmitter struct{ c *callPath }
 
 var errDraining = &call.Refusal{Reason: call.ReasonDraining, RetryAfter: time.Second}
 
 // Admit implements proxy.Admitter.
-func (a admission) Admit(time.Time, *config.Target) *call.Refusal {
+func (a nodeAdmitter) Admit(time.Time, *config.Target) *call.Refusal {
 	switch {
 	case a.c.draining.Load():
 		return errDraining
--- a/internal/node/conduct.go
+++ b/internal/node/conduct.go
@@ -18,53 +18,53 @@
 )
 
 const (
-	rolloutLease = 3 * time.Second // of the node that conducts a rollout
-	rolloutRenew = time.Second
-	// rolloutLook is the time between two looks at a lease that another holds, and
+	rolloutLeaseLength   = 3 * time.Second // of the node that conducts a rollout
+	rolloutRenewInterval = time.Second
+	// rolloutContendInterval is the time between two looks at a lease that another holds, and
 	// rolloutFirst the longest before the first: all feeders hear of an order at once.
-	rolloutLook  = 1500 * time.Millisecond
-	rolloutFirst = 400 * time.Millisecond
-	// tellBound bounds an exchange with a node, and tellWidth those at once.
-	tellBound = 400 * time.Millisecond
-	tellWidth = 16
-	// tellFinal is for how long nodes that haven't answered are told of a verdict. Later
+	rolloutContendInterval = 1500 * time.Millisecond
+	rolloutFirstDelay      = 400 * time.Millisecond
+	// instructTimeout bounds an exchange with a node, and tellWidth those at once.
+	instructTimeout     = 400 * time.Millisecond
+	instructConcurrency = 16
+	// verdictRetryTime is for how long nodes that haven't answered are told of a verdict. Later
 	// they learn it from the table.
-	tellFinal = 8 * time.Second
+	verdictRetryTime = 8 * time.Second
 )
 
-// conducting carries out the rollouts that operators order, at the nodes that read their
+// rolloutConductors carries out the rollouts that operators order, at the nodes that read their
 // orders. For each rollout one of them holds the lease.
-type conducting struct {
+type rolloutConductors struct {
 	n   *Node
 	log zerolog.Logger
 	set rollout.Settings
 }
 
-func newConducting(n *Node) *conducting {
-	return &conducting{n: n, log: telemetry.Part(n.log, "rollout"), set: rollout.Defaults()}
+func newRolloutConductors(n *Node) *rolloutConductors {
+	return &rolloutConductors{n: n, log: telemetry.Part(n.log, "rollout"), set: rollout.Defaults()}
 }
 
 // run starts a conductor for each order that comes in, until ctx ends.
-func (c *conducting) run(ctx context.Context) {
+func (c *rolloutConductors) run(ctx context.Context) {
 	if c.n.o.Orders == nil {
 		<-ctx.Done()
 		return
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	begun := make(map[string]context.CancelFunc)
+	cancels := make(map[string]context.CancelFunc)
 	revisions := make(map[string]uint64)
 	for {
 		for service, o := range c.n.o.Inbox.All() {
 			if o.Revision <= revisions[service] {
 				continue
 			}
-			if stop := begun[service]; stop != nil {
+			if stop := cancels[service]; stop != nil {
 				stop()
 			}
-			one, stop := context.WithCancel(ctx)
-			begun[service], revisions[service] = stop, o.Revision
-			wg.Go(func() { c.follow(one, o, time.Now()) })
+			orderCtx, stop := context.WithCancel(ctx)
+			cancels[service], revisions[service] = stop, o.Revision
+			wg.Go(func() { c.contend(orderCtx, o, time.Now()) })
 		}
 		select {
 		case <-ctx.Done():
@@ -74,18 +74,18 @@
 	}
 }
 
-// follow contends for the lease on a rollout until it is over.
-func (c *conducting) follow(ctx context.Context, o rollout.Order, heard time.Time) {
+// contend contends for the lease on a rollout until it is over.
+func (c *rolloutConductors) contend(ctx context.Context, o rollout.Order, receivedAt time.Time) {
 	if err := o.Check(); err != nil {
 		c.log.Error().Str("service", o.Service).Err(err).Msg("rollout: refuse an order")
 		return
 	}
 	contender := lease.New(c.n.control.table, lease.Options{
-		Name: "rollout-" + o.Service, Holder: c.n.self.ID + "/" + rand.Text(), Length: rolloutLease,
+		Name: "rollout-" + o.Service, Holder: c.n.self.ID + "/" + rand.Text(), Length: rolloutLeaseLength,
 	})
-	pause := jitter(rolloutFirst)
+	pause := jitter(rolloutFirstDelay)
 	for wait.For(ctx, pause) == nil {
-		pause = jitter(rolloutLook)
+		pause = jitter(rolloutContendInterval)
 		record, _, err := loadRecord(ctx, c.n.control.table, o.Service)
 		if err == nil && (record.Order > o.Revision || record.Order == o.Revision && record.Phase.Final()) {
 			return
@@ -98,7 +98,7 @@
 			c.log.Warn().Str("service", o.Service).Err(err).Msg("rollout: the lease can't be taken")
 			continue
 		}
-		r := &oneRollout{conducting: c, order: o, lease: held, heard: heard}
+		r := &leasedRollout{rolloutConductors: c, order: o, lease: held, receivedAt: receivedAt}
 		over := r.conduct(ctx)
 		c.release(held)
 		if over {
@@ -107,29 +107,29 @@
 	}
 }
 
-func (c *conducting) release(l *lease.Lease) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellBound)
+func (c *rolloutConductors) release(l *lease.Lease) {
+	ctx, cancel := context.WithTimeout(context.Background(), instructTimeout)
 	defer cancel()
 	if err := l.Release(ctx); err != nil {
 		c.log.Info().Err(err).Msg("rollout: the lease was not given back, it runs out")
 	}
 }
 
-// oneRollout is a rollout under this node's lease.
-type oneRollout struct {
-	*conducting
-	order    rollout.Order
-	lease    *lease.Lease
-	heard    time.Time
-	revision uint64 // of the record's row
-	c        *rollout.Conductor
-	final    time.Time // when the verdict was written
-	renewed  time.Time
+// leasedRollout is a rollout under this node's lease.
+type leasedRollout struct {
+	*rolloutConductors
+	order      rollout.Order
+	lease      *lease.Lease
+	receivedAt time.Time
+	revision   uint64 // of the record's row
+	conductor  *rollout.Conductor
+	finalAt    time.Time // when the verdict was written
+	renewedAt  time.Time
 }
 
 // conduct decides until the rollout is over, or the lease is lost. It reports whether it is
 // over.
-func (r *oneRollout) conduct(ctx context.Context) bool {
+func (r *leasedRollout) conduct(ctx context.Context) bool {
 	if !r.resume(ctx) {
 		return false
 	}
@@ -138,12 +138,12 @@
 		if !r.renew(ctx, now) {
 			return false
 		}
-		r.c.See(r.servers())
-		if next, changed := r.c.Step(now); changed && !r.write(ctx, next) {
+		r.conductor.See(r.servers())
+		if next, changed := r.conductor.Step(now); changed && !r.write(ctx, next) {
 			return false
 		}
-		r.tell(ctx, r.c.Messages())
-		if !r.final.IsZero() && (r.c.Told() || now.Sub(r.final) > tellFinal) {
+		r.sendMessages(ctx, r.conductor.Messages())
+		if !r.finalAt.IsZero() && (r.conductor.Told() || now.Sub(r.finalAt) > verdictRetryTime) {
 			return true
 		}
 		if wait.For(ctx, max(0, r.set.Tick-time.Since(now))) != nil {
@@ -153,7 +153,7 @@
 }
 
 // resume goes on from what lasts of the rollout.
-func (r *oneRollout) resume(ctx context.Context) bool {
+func (r *leasedRollout) resume(ctx context.Context) bool {
 	record, revision, err := loadRecord(ctx, r.n.control.table, r.order.Service)
 	if err != nil {
 		r.log.Warn().Str("service", r.order.Service).Err(err).Msg("rollout: the record can't be read")
@@ -161,19 +161,19 @@
 	}
 	now := time.Now()
 	r.revision = revision
-	r.c = rollout.NewConductor(r.set, now, r.order, record, r.lease.Token(), r.elapsed(now, record))
+	r.conductor = rollout.NewConductor(r.set, now, r.order, record, r.lease.Token(), r.elapsed(now, record))
 	r.log.Info().Str("service", r.order.Service).Str("target", r.order.Target).Uint64("token", r.lease.Token()).
-		Str("phase", string(r.c.Record().Phase)).Dur("left", r.c.Left(now)).Msg("rollout: this node conducts it")
+		Str("phase", string(r.conductor.Record().Phase)).Dur("left", r.conductor.Left(now)).Msg("rollout: this node conducts it")
 	if record.Order == r.order.Revision {
 		return true
 	}
-	return r.write(ctx, r.c.Record())
+	return r.write(ctx, r.conductor.Record())
 }
 
 // elapsed returns the time since the order. Where an earlier conductor has noted when it
 // heard of it, that counts, as long as the clocks of the two can be right.
-func (r *oneRollout) elapsed(now time.Time, record rollout.Record) time.Duration {
-	own := now.Sub(r.heard)
+func (r *leasedRollout) elapsed(now time.Time, record rollout.Record) time.Duration {
+	own := now.Sub(r.receivedAt)
 	if record.Order != r.order.Revision {
 		return own
 	}
@@ -184,13 +184,13 @@
 	return noted
 }
 
-func (r *oneRollout) renew(ctx context.Context, now time.Time) bool {
-	if now.Sub(r.renewed) >= rolloutRenew {
-		ctx, cancel := context.WithTimeout(ctx, tellBound)
+func (r *leasedRollout) renew(ctx context.Context, now time.Time) bool {
+	if now.Sub(r.renewedAt) >= rolloutRenewInterval {
+		ctx, cancel := context.WithTimeout(ctx, instructTimeout)
 		err := r.lease.Renew(ctx)
 		cancel()
 		if err == nil {
-			r.renewed = now
+			r.renewedAt = now
 		} else {
 			r.log.Warn().Str("service", r.order.Service).Err(err).Msg("rollout: the lease was not renewed")
 		}
@@ -202,8 +202,8 @@
 //
 // It holds only while the lease does and the row is the one that this node knows: a write
 // whose answer was lost may still be carried out, and must not undo what followed.
-func (r *oneRollout) write(ctx context.Context, record rollout.Record) bool {
-	ctx, cancel := context.WithTimeout(ctx, rolloutRead)
+func (r *leasedRollout) write(ctx context.Context, record rollout.Record) bool {
+	ctx, cancel := context.WithTimeout(ctx, rolloutReadTimeout)
 	defer cancel()
 	key := rollout.Key(r.order.Service)
 	err := r.n.control.table.Commit(ctx, platform.Txn{
@@ -217,13 +217,13 @@
 		err = r.readBack(ctx, record)
 	}
 	r.log.Info().Str("service", r.order.Service).Str("target", record.Target).Str("phase", string(record.Phase)).
-		Str("reason", record.Reason).Dur("left", r.c.Left(time.Now())).Err(err).Msg("rollout: step")
+		Str("reason", record.Reason).Dur("left", r.conductor.Left(time.Now())).Err(err).Msg("rollout: step")
 	if err != nil {
 		return false
 	}
-	r.c.Wrote(record)
+	r.conductor.Wrote(record)
 	if record.Phase.Final() {
-		r.final = time.Now()
+		r.finalAt = time.Now()
 	}
 	return true
 }
@@ -231,7 +231,7 @@
 var errNotWritten = errors.New("node: the record of the rollout was not written")
 
 // readBack takes the revision of the row that was written.
-func (r *oneRollout) readBack(ctx context.Context, record rollout.Record) error {
+func (r *leasedRollout) readBack(ctx context.Context, record rollout.Record) error {
 	found, revision, err := loadRecord(ctx, r.n.control.table, r.order.Service)
 	switch {
 	case err != nil:
@@ -244,7 +244,7 @@
 }
 
 // servers returns the servers of the service as this node sees them.
-func (r *oneRollout) servers() []rollout.Server {
+func (r *leasedRollout) servers() []rollout.Server {
 	var out []rollout.Server
 	for id, record := range r.n.views.Load().Records {
 		for _, b := range record.Backends {
@@ -261,12 +261,12 @@
 	return out
 }
 
-// tell sends messages and takes in the answers.
-func (r *oneRollout) tell(ctx context.Context, messages []rollout.Message) {
+// sendMessages sends messages and takes in the answers.
+func (r *leasedRollout) sendMessages(ctx context.Context, messages []rollout.Message) {
 	view := r.n.views.Load()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	slots := make(chan struct{}, tellWidth)
+	slots := make(chan struct{}, instructConcurrency)
 	for _, m := range messages {
 		record := view.Records[m.VM]
 		if record == nil {
@@ -282,19 +282,19 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			r.c.Answered(time.Now(), m.VM, answers)
+			r.conductor.Answered(time.Now(), m.VM, answers)
 		})
 	}
 	wg.Wait()
 }
 
 // instruct tells the node of a VM, which may be this one.
-func (r *oneRollout) instruct(ctx context.Context, to *membership.ObservedRecord, m rollout.Message) ([]rollout.Answer, error) {
+func (r *leasedRollout) instruct(ctx context.Context, to *membership.ObservedRecord, m rollout.Message) ([]rollout.Answer, error) {
 	q := encodeInstruction(m.Instruction)
 	if m.VM == r.n.self.ID {
 		return decodeAnswers(m.VM, r.n.rollouts.Instruct(q)), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, tellBound)
+	ctx, cancel := context.WithTimeout(ctx, instructTimeout)
 	defer cancel()
 	list, err := r.n.control.peers.Rollout(ctx, m.VM, to.VM.ControlAddr, q)
 	return decodeAnswers(m.VM, list), err
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -69,7 +69,7 @@
 	maintainer *maintainer
 
 	telling  sync.Mutex   // held while backend servers are told
-	findings tally        // by kind
+	findings counterSet   // by kind
 	heardAt  atomic.Int64 // when a peer was last heard, in Unix milliseconds
 }
 
@@ -147,7 +147,7 @@
 	})
 	c.commands = command.NewForwarder(c.commit, submitPeers{c})
 	if c.n.o.Source != nil {
-		c.commands = acceptedElsewhere{}
+		c.commands = rejectingSubmitter{}
 	}
 }
 
@@ -162,7 +162,7 @@
 		c.spread = follow.NewRunner(set, follow.Deps{
 			Source: n.o.Source, Views: &n.views, Client: c.peers, Store: wakingStore{n},
 			Log:       telemetry.Part(n.log, "follow"),
-			OnFinding: func(f follow.Finding) { c.findings.add(string(f)) },
+			OnFinding: func(f follow.Finding) { c.findings.increment(string(f)) },
 		})
 		return
 	}
@@ -178,7 +178,7 @@
 		Views: &n.views, Platform: feed.New(c.log), Client: c.peers, Store: wakingStore{n},
 		Log: telemetry.Part(n.log, "distribute"),
 		OnFinding: func(f distribute.Finding) {
-			c.findings.add(f.Kind())
+			c.findings.increment(f.Kind())
 			n.findings.note(time.Now(), f)
 		},
 	})
@@ -193,7 +193,7 @@
 		return c.n.o.Source == nil && c.spread.Feeder() && !c.n.leaving.Load()
 	}
 	m.compact = command.NewCompactor(c.log, c.table, c.objects, command.CompactOptions{})
-	m.trim = c.n.calls.keeper
+	m.trim = c.n.calls.dedup
 	c.maintainer = m
 }
 
@@ -242,7 +242,7 @@
 func (c *control) backends() {
 	c.telling.Lock()
 	defer c.telling.Unlock()
-	seen := c.n.rollouts.serve(time.Now(), c.n.registry.Load())
+	seen := c.n.rollouts.setBackends(time.Now(), c.n.registry.Load())
 	if err := c.members.SetBackends(announce.MembershipBackends(seen)); err != nil {
 		c.n.log.Error().Err(err).Msg("membership: backend servers are not told")
 	}
--- a/internal/node/quiet.go
+++ b/internal/node/control_cpu.go
@@ -10,10 +10,10 @@
 	"github.com/marlpass/marlpass/internal/drain"
 )
 
-// quietEvery is the length of the intervals that quiet looks at.
-const quietEvery = 100 * time.Millisecond
+// cpuSampleInterval is the length of the intervals that quiet looks at.
+const cpuSampleInterval = 100 * time.Millisecond
 
-// quiet measures the processor time of control.
+// controlCPUMeter measures the processor time of control.
 //
 // Nothing in Go tells the processor time of some goroutines apart from that of
 // others, and control shares its goroutines' threads, the collector and the
@@ -22,60 +22,60 @@
 // beginning to end. That is control's time, the runtime's own included, and no
 // estimate; on a node that is never without calls it stands still, and its
 // companion, the time observed, shows that it does.
-type quiet struct {
+type controlCPUMeter struct {
 	calls *drain.Calls
 
-	mu        sync.Mutex // guards what follows; no call takes it
-	cpu, wall time.Duration
+	mu            sync.Mutex // guards what follows; no call takes it
+	cpu, observed time.Duration
 }
 
 // run looks at one interval after the other until ctx ends.
-func (q *quiet) run(ctx context.Context) {
-	ticker := time.NewTicker(quietEvery)
+func (q *controlCPUMeter) run(ctx context.Context) {
+	ticker := time.NewTicker(cpuSampleInterval)
 	defer ticker.Stop()
-	last := q.look(time.Now())
+	last := q.sample(time.Now())
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			next := q.look(now)
-			q.add(last, next)
+			next := q.sample(now)
+			q.addInterval(last, next)
 			last = next
 		}
 	}
 }
 
-// sight is what was seen at one moment.
-type sight struct {
+// cpuSample is what was seen at one moment.
+type cpuSample struct {
 	at      time.Time
 	cpu     time.Duration
 	started uint64 // calls, since the start of the node
 	idle    bool   // no call is in the node's hands
 }
 
-func (q *quiet) look(now time.Time) sight {
+func (q *controlCPUMeter) sample(now time.Time) cpuSample {
 	// Read in this order: a call that starts in between shows in started at
 	// the next look at the latest.
 	started := q.calls.Started()
-	return sight{at: now, started: started, idle: q.calls.InFlight() == 0, cpu: processTime()}
+	return cpuSample{at: now, started: started, idle: q.calls.InFlight() == 0, cpu: processTime()}
 }
 
-func (q *quiet) add(from, to sight) {
+func (q *controlCPUMeter) addInterval(from, to cpuSample) {
 	if !from.idle || !to.idle || from.started != to.started {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.cpu += to.cpu - from.cpu
-	q.wall += to.at.Sub(from.at)
+	q.observed += to.at.Sub(from.at)
 }
 
 // totals returns the processor time and the time observed, in seconds.
-func (q *quiet) totals() (cpu, wall float64) {
+func (q *controlCPUMeter) totals() (cpu, observed float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.cpu.Seconds(), q.wall.Seconds()
+	return q.cpu.Seconds(), q.observed.Seconds()
 }
 
 // processTime returns the processor time of the process, or zero if the system
--- a/internal/node/tally.go
+++ b/internal/node/counters.go
@@ -5,10 +5,10 @@
 	"sync/atomic"
 )
 
-// tally counts events by name without a lock. Names must be few.
-type tally struct{ byName sync.Map }
+// counterSet counts events by name without a lock. Names must be few.
+type counterSet struct{ byName sync.Map }
 
-func (t *tally) add(name string) {
+func (t *counterSet) increment(name string) {
 	n, ok := t.byName.Load(name)
 	if !ok {
 		n, _ = t.byName.LoadOrStore(name, new(atomic.Uint64))
@@ -16,7 +16,7 @@
 	n.(*atomic.Uint64).Add(1)
 }
 
-func (t *tally) all() map[string]uint64 {
+func (t *counterSet) values() map[string]uint64 {
 	out := make(map[string]uint64)
 	t.byName.Range(func(name, n any) bool {
 		out[name.(string)] = n.(*atomic.Uint64).Load()
--- /dev/null
+++ b/internal/node/dedup.go
@@ -0,0 +1,49 @@
+package node
+
+import (
+	"context"
+
+	"github.com/marlpass/marlpass/internal/once"
+	"github.com/marlpass/marlpass/internal/proxy"
+)
+
+// dedupAdapter gives once.Keeper the shape that the proxy asks for.
+type dedupAdapter struct{ k *once.Keeper }
+
+// Begin implements proxy.Keeper.
+func (k dedupAdapter) Begin(ctx context.Context, c proxy.KeyedCall) (proxy.Claim, *proxy.Stored, error) {
+	b, err := k.k.Begin(ctx, once.Request{
+		Service:     c.Target.Service,
+		Key:         c.Key,
+		Fingerprint: c.Fingerprint,
+		Rule:        c.Target.StoreDownRule(),
+		Deadline:    c.Deadline,
+	})
+	switch {
+	case err != nil:
+		return nil, nil, err
+	case b.Unknown:
+		return nil, nil, proxy.ErrOutcomeUnknown
+	case b.Replay != nil:
+		return nil, proxyStored(b.Replay), nil
+	}
+	return claimAdapter{b.Run}, nil, nil
+}
+
+func proxyStored(s *once.Stored) *proxy.Stored {
+	return &proxy.Stored{Status: s.Status, Header: s.Header, Body: s.Body, TooLarge: s.Truncated}
+}
+
+// claimAdapter gives once.Claim the shape that the proxy asks for. Errors of Finish
+// and Abandon are settled later by Keeper.Flush.
+type claimAdapter struct{ c *once.Claim }
+
+func (c claimAdapter) Started(ctx context.Context) error { return c.c.Started(ctx) }
+
+func (c claimAdapter) Finish(ctx context.Context, s proxy.Stored) {
+	_ = c.c.Finish(ctx, once.Stored{Status: s.Status, Header: s.Header, Body: s.Body, Truncated: s.TooLarge})
+}
+
+func (c claimAdapter) Abandon(ctx context.Context) { _ = c.c.Abandon(ctx) }
+
+func (c claimAdapter) Lost(ctx context.Context) { _ = c.c.Lost(ctx) }
--- a/internal/node/keeper_test.go
+++ b/internal/node/dedup_test.go
@@ -16,7 +16,7 @@
 // an operator gives launches a class of their own. The resend belongs to that
 // class, whose row did not exist, and the charge ran a second time.
 func TestKeyOutlivesAChangeOfClasses(t *testing.T) {
-	k := keeper{once.New(once.Options{Table: memory.New(), Holder: "vm1"})}
+	k := dedupAdapter{once.New(once.Options{Table: memory.New(), Holder: "vm1"})}
 	send := func(class string) (proxy.Claim, error) {
 		c, _, err := k.Begin(context.Background(), proxy.KeyedCall{
 			Target: &config.Target{Name: class, Service: "berths"}, Key: "k1",
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -10,12 +10,13 @@
 //
 // The files by their job:
 //
-//   - one node's life: node, start, refresh, stop, parts, reload, quiet;
+//   - one node's life: node, start, refresh, stop, parts, reload, control_cpu;
 //   - sockets and servers: listeners, servers, inflight, trust;
-//   - calls: callpath, program, split, gates, backends, discover, keeper, pickers,
+//   - calls: callpath, program, split, gates, backends, discover, dedup, pickers,
 //     sizes, retries, policies, suspects;
-//   - control: control, peers, elsewhere, maintenance, maintenance_figures;
+//   - control: control, peers, rejecting_submitter, maintenance,
+//     maintenance_figures;
 //   - what operators ask for: reader, observe, report, report_wire, handover,
 //     handover_findings, handover_quarantine;
-//   - metrics and logs: metrics, metrics_calls, metrics_control, tally, view_log.
+//   - metrics and logs: metrics, metrics_calls, metrics_control, counters, view_log.
 package node
--- a/internal/node/gates.go
+++ b/internal/node/gates.go
@@ -17,12 +17,12 @@
 type gates struct {
 	mu         sync.Mutex // serialises writers
 	byInstance atomic.Pointer[map[string]*limit.Gate]
-	// gone are the gates of backend servers that left while calls ran.
-	gone map[string]*limit.Gate
+	// departed are the gates of backend servers that left while calls ran.
+	departed map[string]*limit.Gate
 }
 
 func newGates() *gates {
-	g := &gates{gone: make(map[string]*limit.Gate)}
+	g := &gates{departed: make(map[string]*limit.Gate)}
 	g.byInstance.Store(&map[string]*limit.Gate{})
 	return g
 }
@@ -34,7 +34,7 @@
 // A gate is kept until its last call has ended. That guards a backend server too
 // busy to renew its lease in time: it announces itself anew while its calls
 // still run, and a new gate would send it as many again.
-func (g *gates) update(now time.Time, list []announce.Backend, p *program, holders func(service string) int) {
+func (g *gates) update(now time.Time, list []announce.Backend, p *program, backendCount func(service string) int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	old := *g.byInstance.Load()
@@ -42,13 +42,13 @@
 	for _, b := range list {
 		gate := old[b.Instance]
 		if gate == nil {
-			gate = g.gone[b.Instance]
+			gate = g.departed[b.Instance]
 		}
 		if gate == nil {
 			gate = limit.NewGate(limit.Options{})
 		}
-		delete(g.gone, b.Instance)
-		classes := partOf(p.limits[b.Service], holders(b.Service))
+		delete(g.departed, b.Instance)
+		classes := perBackendRates(p.limits[b.Service], backendCount(b.Service))
 		gate.Configure(now, limit.Config{Slots: b.Slots, Classes: classes})
 		next[b.Instance] = gate
 	}
@@ -56,17 +56,17 @@
 	for instance, gate := range old {
 		if next[instance] == nil {
 			gate.Drain()
-			g.gone[instance] = gate
+			g.departed[instance] = gate
 		}
 	}
-	maps.DeleteFunc(g.gone, func(_ string, gate *limit.Gate) bool {
+	maps.DeleteFunc(g.departed, func(_ string, gate *limit.Gate) bool {
 		busy, _ := gate.Load()
 		return busy == 0
 	})
 }
 
-// partOf gives each class one backend server's part of its rate.
-func partOf(classes []limit.Class, backends int) []limit.Class {
+// perBackendRates gives each class one backend server's part of its rate.
+func perBackendRates(classes []limit.Class, backends int) []limit.Class {
 	out := make([]limit.Class, len(classes))
 	for i, c := range classes {
 		c.RatePerSecond = limit.RatePerBackend(c.RatePerSecond, backends)
@@ -75,8 +75,8 @@
 	return out
 }
 
-// use returns how the slots of a backend server are used; zeros if it has gone.
-func (g *gates) use(b proxy.Backend) proxy.SlotUse {
+// slotUse returns how the slots of a backend server are used; zeros if it has gone.
+func (g *gates) slotUse(b proxy.Backend) proxy.SlotUse {
 	gate := (*g.byInstance.Load())[b.Instance]
 	if gate == nil {
 		return proxy.SlotUse{}
@@ -86,13 +86,13 @@
 }
 
 // Acquire implements proxy.Gates.
-func (g *gates) Acquire(ctx context.Context, b proxy.Backend, t *config.Target, times limit.AcquireOptions) (proxy.Permit, error) {
+func (g *gates) Acquire(ctx context.Context, b proxy.Backend, t *config.Target, opts limit.AcquireOptions) (proxy.Permit, error) {
 	gate := (*g.byInstance.Load())[b.Instance]
 	if gate == nil {
 		// The backend server went between the look-up and here.
 		return nil, errNotHeld
 	}
-	p, err := gate.Acquire(ctx, t.Name, times)
+	p, err := gate.Acquire(ctx, t.Name, opts)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/handover_quarantine.go
+++ b/internal/node/handover_quarantine.go
@@ -86,7 +86,7 @@
 	if err := list.Lift(now, fp, by); err != nil {
 		return "", err
 	}
-	l.n.calls.suspects.tell(now)
+	l.n.calls.suspects.publishNotices(now)
 	l.alert(ctx, servicesOf(l.n.views.Load(), held), noticeOf(list.Notices(now), fp))
 	return by, nil
 }
--- a/internal/node/lift_test.go
+++ b/internal/node/lift_test.go
@@ -22,12 +22,12 @@
 	}
 	y.eventually(t, "the request in quarantine at its entry node", func() bool {
 		y.get(t, 1, "/berths/bad", backend.HeaderCrash, "1")
-		return y.held(t, 1).State == adminapi.QuarantinedRequestStateQuarantined
+		return y.quarantined(t, 1).State == adminapi.QuarantinedRequestStateQuarantined
 	})
 	y.eventually(t, "the request in quarantine at the node that the operator asks", func() bool {
-		return y.held(t, 3).State == adminapi.QuarantinedRequestStateQuarantined
+		return y.quarantined(t, 3).State == adminapi.QuarantinedRequestStateQuarantined
 	})
-	bad := y.held(t, 3)
+	bad := y.quarantined(t, 3)
 	if len(bad.Crashes) != 2 || bad.Service.Value != "berths" {
 		t.Errorf("%+v", bad)
 	}
@@ -44,7 +44,7 @@
 	}
 	for vm := range y.VMs {
 		y.eventually(t, "the lift at every node", func() bool {
-			q := y.held(t, vm)
+			q := y.quarantined(t, vm)
 			return q.State == adminapi.QuarantinedRequestStateLifted && q.By.Value == "kumari (harbour)"
 		})
 	}
@@ -73,15 +73,15 @@
 	}
 	y.eventually(t, "the request in quarantine", func() bool {
 		y.get(t, 1, "/berths/bad", backend.HeaderCrash, "1")
-		return y.held(t, 1).State == adminapi.QuarantinedRequestStateQuarantined
+		return y.quarantined(t, 1).State == adminapi.QuarantinedRequestStateQuarantined
 	})
-	fp := adminapi.Fingerprint(y.held(t, 1).Fingerprint)
+	fp := adminapi.Fingerprint(y.quarantined(t, 1).Fingerprint)
 	if _, err := y.admin(t, 1).LiftQuarantine(y.ctx, adminapi.LiftQuarantineParams{Fingerprint: fp}); err != nil {
 		t.Fatal(err)
 	}
 	for _, vm := range []int{0, 2} {
 		y.eventually(t, "the lift beside the backend servers", func() bool {
-			return y.held(t, vm).State == adminapi.QuarantinedRequestStateLifted
+			return y.quarantined(t, vm).State == adminapi.QuarantinedRequestStateLifted
 		})
 	}
 	y.VMs[1].Kill()
@@ -90,12 +90,12 @@
 		t.Fatal(err)
 	}
 	y.eventually(t, "the lift at a node that started later", func() bool {
-		return y.held(t, 3).State == adminapi.QuarantinedRequestStateLifted
+		return y.quarantined(t, 3).State == adminapi.QuarantinedRequestStateLifted
 	})
 }
 
-// held returns the request that the VM's node holds, or a zero one.
-func (y *yard) held(t *testing.T, vm int) adminapi.QuarantinedRequest {
+// quarantined returns the request that the VM's node holds, or a zero one.
+func (y *yard) quarantined(t *testing.T, vm int) adminapi.QuarantinedRequest {
 	t.Helper()
 	l, err := y.admin(t, vm).ListQuarantine(y.ctx)
 	if err != nil || len(l.Requests) == 0 {
--- a/internal/node/metrics_calls.go
+++ b/internal/node/metrics_calls.go
@@ -21,11 +21,11 @@
 	c.entry.FreeShares(func(service string, share float64) {
 		p.gauge("marlpass_call_free_slot_ratio", share, "service", service)
 	})
-	c.retries.each(func(service string, left float64) {
+	c.retries.eachBudget(func(service string, left float64) {
 		p.gauge("marlpass_call_retry_budget", left, "service", service)
 	})
-	for why, n := range c.retries.why.all() {
-		p.counter("marlpass_call_retry_decisions_total", n, "why", why)
+	for reason, n := range c.retries.reasons.values() {
+		p.counter("marlpass_call_retry_decisions_total", n, "why", reason)
 	}
 	c.writeGates(p, now)
 	c.writeOnce(p)
@@ -41,8 +41,8 @@
 
 // writeClass tells what callers got, by the class of work.
 func writeClass(p page, t *proxy.ClassTotals) {
-	for why, n := range t.Refused {
-		p.counter("marlpass_call_refused_total", n, "class", t.Class, "reason", string(why))
+	for reason, n := range t.Refused {
+		p.counter("marlpass_call_refused_total", n, "class", t.Class, "reason", string(reason))
 	}
 	if t.Class == "" {
 		return
@@ -86,7 +86,7 @@
 
 // writeOnce tells what became of calls with a key.
 func (c *callPath) writeOnce(p page) {
-	s := c.keeper.Stats()
+	s := c.dedup.Stats()
 	p.counter("marlpass_once_claims_total", s.Claims)
 	p.counter("marlpass_once_replays_total", s.Replays)
 	p.counter("marlpass_once_unknowns_total", s.Unknowns)
@@ -105,7 +105,7 @@
 		p.gauge("marlpass_backend_slots", float64(b.Slots), l...)
 		p.flag("marlpass_backend_state", true, append(l, "state", b.State.String())...)
 	}
-	for service, n := range *c.pickers.ready.Load() {
+	for service, n := range *c.pickers.readyCounts.Load() {
 		p.gauge("marlpass_service_endpoints_ready", float64(n), "service", service)
 	}
 	for service, picker := range *c.pickers.byService.Load() {
--- a/internal/node/metrics_control.go
+++ b/internal/node/metrics_control.go
@@ -27,7 +27,7 @@
 	}
 	p.flag("marlpass_config_refused", c.n.store.Refused() != nil)
 	p.flag("marlpass_config_feeder", c.spread.Feeder())
-	for kind, n := range c.findings.all() {
+	for kind, n := range c.findings.values() {
 		p.counter("marlpass_config_findings_total", n, "kind", kind)
 	}
 	if list := c.spread.Timeline(); len(list) > 0 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -88,7 +88,7 @@
 	// superseded says that another process runs under this VM's ID.
 	superseded atomic.Bool
 	operators  *admin.Operators
-	quiet      *quiet
+	quiet      *controlCPUMeter
 	parts      *parts
 	once       sync.Once
 }
@@ -142,7 +142,7 @@
 	if n.servers, err = newServers(n); err != nil {
 		return err
 	}
-	n.quiet = &quiet{calls: &n.servers.calls}
+	n.quiet = &controlCPUMeter{calls: &n.servers.calls}
 	return nil
 }
 
@@ -176,7 +176,7 @@
 
 // Endpoints returns how many backend servers of a service this node knows that
 // take calls.
-func (n *Node) Endpoints(service string) int { return n.calls.pickers.holders(service) }
+func (n *Node) Endpoints(service string) int { return n.calls.pickers.readyBackends(service) }
 
 // Start serves everything, and returns at once.
 func (n *Node) Start() {
@@ -185,10 +185,10 @@
 	n.parts.run("refresh", func(ctx context.Context) error { n.refresh(ctx); return nil })
 	n.parts.run("quiet", func(ctx context.Context) error { n.quiet.run(ctx); return nil })
 	n.parts.run("discover", func(ctx context.Context) error { n.discover(ctx); <-ctx.Done(); return nil })
-	n.parts.run("once", func(ctx context.Context) error { n.calls.upkeep(ctx); return nil })
+	n.parts.run("once", func(ctx context.Context) error { n.calls.runBackground(ctx); return nil })
 	n.parts.run("rollouts", func(ctx context.Context) error { n.rollouts.run(ctx); return nil })
 	n.parts.run("workspaces", func(ctx context.Context) error { n.workspaces.run(ctx); return nil })
-	n.parts.run("conduct", func(ctx context.Context) error { newConducting(n).run(ctx); return nil })
+	n.parts.run("conduct", func(ctx context.Context) error { newRolloutConductors(n).run(ctx); return nil })
 	a := n.Addrs()
 	n.log.Info().Str("callers", a.Callers).Str("internal", a.Internal).
 		Str("calls", a.Calls).Str("control", a.Control).Str("admin", a.Admin).
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -28,7 +28,7 @@
 type yard struct {
 	*localmesh.Mesh
 	ctx   context.Context
-	gates []*gate
+	gates []*platformProxy
 }
 
 func newYard(t *testing.T) *yard {
@@ -46,7 +46,7 @@
 			{Name: "gal-shed", Region: "western", VMs: 2},
 		},
 		Node: func(_ *localmesh.VM, o *node.Options) {
-			g := newGate(t, o.Settings.Platform.URL)
+			g := newPlatformProxy(t, o.Settings.Platform.URL)
 			y.gates = append(y.gates, g)
 			o.Settings.Platform.URL = g.url
 			o.Settings.Operators = append(o.Settings.Operators, other)
@@ -280,8 +280,8 @@
 	y := newYard(t)
 	y.state(t)
 	id := "lost-answer"
-	y.gates[0].onLost = func() { y.cut(true) }
-	y.gates[0].lose.Store(&id)
+	y.gates[0].onDropped = func() { y.cut(true) }
+	y.gates[0].dropAnswerOf.Store(&id)
 	c := y.admin(t, 0)
 	spec := lookups()
 	spec.Priority.SetTo(7)
--- a/internal/node/pickers.go
+++ b/internal/node/pickers.go
@@ -23,28 +23,28 @@
 // pickers keeps one route.Picker for each service that some node holds, and
 // feeds them from the membership view.
 type pickers struct {
-	self      membership.VM
-	mu        sync.Mutex // serialises writers, and guards the next four
-	view      *membership.View
-	made      map[string]madeEndpoints    // of each record, by VM
-	endpoints map[string][]route.Endpoint // by service
-	entries   int                         // entry nodes that the subsets go by
-	byService atomic.Pointer[map[string]*route.Picker]
-	none      *route.Picker // of a service that no node holds
-	sizes     answerSizes
-	weighed   bool // see route.Options
-	onEject   func(endpoint string, ejected bool, failing float64)
-	ready     atomic.Pointer[map[string]int]
-	plain     *proxy.RoundRobin // fed as well if not nil; see Policies
+	self        membership.VM
+	mu          sync.Mutex // serialises writers, and guards the next four
+	view        *membership.View
+	cache       map[string]cachedEndpoints  // of each record, by VM
+	endpoints   map[string][]route.Endpoint // by service
+	entryNodes  int                         // entry nodes that the subsets go by
+	byService   atomic.Pointer[map[string]*route.Picker]
+	empty       *route.Picker // of a service that no node holds
+	sizes       answerSizes
+	regionWide  bool // see route.Options
+	onEject     func(endpoint string, ejected bool, failing float64)
+	readyCounts atomic.Pointer[map[string]int]
+	roundRobin  *proxy.RoundRobin // fed as well if not nil; see Policies
 }
 
-func newPickers(self membership.VM, weighed bool) *pickers {
+func newPickers(self membership.VM, regionWide bool) *pickers {
 	p := &pickers{
-		self: self, weighed: weighed, made: make(map[string]madeEndpoints), endpoints: make(map[string][]route.Endpoint),
-		none: route.New(route.Options{Self: self.ID}),
+		self: self, regionWide: regionWide, cache: make(map[string]cachedEndpoints), endpoints: make(map[string][]route.Endpoint),
+		empty: route.New(route.Options{Self: self.ID}),
 	}
 	p.byService.Store(&map[string]*route.Picker{})
-	p.ready.Store(&map[string]int{})
+	p.readyCounts.Store(&map[string]int{})
 	return p
 }
 
@@ -56,49 +56,49 @@
 func (p *pickers) update(now time.Time, v *membership.View) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	entries := nodesIn(v, p.self.DataCentre)
-	touched := p.touched(v, entries)
+	entryNodes := countNodes(v, p.self.DataCentre)
+	changed := p.changedServices(v, entryNodes)
 	p.view = v
-	if len(touched) == 0 {
+	if len(changed) == 0 {
 		return
 	}
-	fresh := p.endpointsOf(v, touched)
+	fresh := p.endpointsOf(v, changed)
 	next := maps.Clone(*p.byService.Load())
-	ready := maps.Clone(*p.ready.Load())
-	for service := range touched {
+	ready := maps.Clone(*p.readyCounts.Load())
+	for service := range changed {
 		picker := next[service]
 		if picker == nil {
 			picker = route.New(route.Options{
 				Self: p.self.ID, DataCentre: p.self.DataCentre, Region: p.self.Region,
-				RegionWide: p.weighed, OnEject: p.onEject,
+				RegionWide: p.regionWide, OnEject: p.onEject,
 			})
 			next[service] = picker
 		}
-		picker.SetEntryNodes(p.entries)
+		picker.SetEntryNodes(p.entryNodes)
 		picker.Update(now, fresh[service])
 		p.endpoints[service] = fresh[service]
 		ready[service] = countReady(fresh[service])
 	}
 	p.byService.Store(&next)
-	p.ready.Store(&ready)
-	if p.plain != nil {
-		p.plain.Set(plainEndpoints(p.endpoints))
+	p.readyCounts.Store(&ready)
+	if p.roundRobin != nil {
+		p.roundRobin.Set(routableEndpoints(p.endpoints))
 	}
 }
 
-// entriesDrift is the share by which the number of entry nodes may move before
+// entryNodeDrift is the share by which the number of entry nodes may move before
 // the subsets of all services follow it.
-const entriesDrift = 0.1
+const entryNodeDrift = 0.1
 
-// touched returns the services whose endpoints are not the same in v as in the
+// changedServices returns the services whose endpoints are not the same in v as in the
 // view before, or all of them when the number of entry nodes has drifted.
-func (p *pickers) touched(v *membership.View, entries int) map[string]bool {
-	out := make(map[string]bool)
-	drifted := math.Abs(float64(entries-p.entries)) > entriesDrift*float64(p.entries)
+func (p *pickers) changedServices(v *membership.View, entryNodes int) map[string]bool {
+	changed := make(map[string]bool)
+	drifted := math.Abs(float64(entryNodes-p.entryNodes)) > entryNodeDrift*float64(p.entryNodes)
 	if drifted {
-		p.entries = entries
+		p.entryNodes = entryNodes
 		for service := range *p.byService.Load() {
-			out[service] = true
+			changed[service] = true
 		}
 	}
 	var old map[string]*membership.ObservedRecord
@@ -107,16 +107,16 @@
 	}
 	for id, r := range v.Records {
 		if was := old[id]; was != r && !sameEndpoints(was, r) {
-			note(out, was)
-			note(out, r)
+			addServices(changed, was)
+			addServices(changed, r)
 		}
 	}
 	for id, was := range old {
 		if v.Records[id] == nil {
-			note(out, was)
+			addServices(changed, was)
 		}
 	}
-	return out
+	return changed
 }
 
 // sameEndpoints reports whether two records of one VM give the same endpoints.
@@ -127,8 +127,8 @@
 	return a.VM == b.VM && a.State == b.State && slices.Equal(a.Backends, b.Backends)
 }
 
-// note adds the services of a record.
-func note(services map[string]bool, r *membership.ObservedRecord) {
+// addServices adds the services of a record.
+func addServices(services map[string]bool, r *membership.ObservedRecord) {
 	if r == nil {
 		return
 	}
@@ -137,8 +137,8 @@
 	}
 }
 
-// plainEndpoints returns the endpoints that take calls.
-func plainEndpoints(endpoints map[string][]route.Endpoint) map[string][]proxy.Endpoint {
+// routableEndpoints returns the endpoints that take calls.
+func routableEndpoints(endpoints map[string][]route.Endpoint) map[string][]proxy.Endpoint {
 	out := make(map[string][]proxy.Endpoint, len(endpoints))
 	for service, list := range endpoints {
 		for _, e := range list {
@@ -165,8 +165,8 @@
 	return n
 }
 
-// nodesIn counts the nodes of a data centre: each may be an entry node.
-func nodesIn(v *membership.View, dc string) int {
+// countNodes counts the nodes of a data centre: each may be an entry node.
+func countNodes(v *membership.View, dc string) int {
 	n := 0
 	for _, r := range v.Records {
 		if r.VM.DataCentre == dc {
@@ -176,10 +176,10 @@
 	return max(n, 1)
 }
 
-// madeEndpoints are the endpoints of one record, one for each backend server.
-type madeEndpoints struct {
-	of   *membership.ObservedRecord
-	list []route.Endpoint
+// cachedEndpoints are the endpoints of one record, one for each backend server.
+type cachedEndpoints struct {
+	record    *membership.ObservedRecord
+	endpoints []route.Endpoint
 }
 
 // endpointsOf returns the endpoints of the given services. Those of a record that is the same as
@@ -190,29 +190,29 @@
 		out[service] = make([]route.Endpoint, 0, len(p.endpoints[service])+1)
 	}
 	for id, r := range v.Records {
-		made := p.made[id]
-		if made.of != r {
-			made = makeEndpoints(r)
-			p.made[id] = made
+		cached := p.cache[id]
+		if cached.record != r {
+			cached = buildEndpoints(r)
+			p.cache[id] = cached
 		}
 		for i, b := range r.Backends {
 			if services[b.Service] {
-				out[b.Service] = append(out[b.Service], made.list[i])
+				out[b.Service] = append(out[b.Service], cached.endpoints[i])
 			}
 		}
 	}
-	if len(p.made) > len(v.Records) {
-		maps.DeleteFunc(p.made, func(id string, _ madeEndpoints) bool { return v.Records[id] == nil })
+	if len(p.cache) > len(v.Records) {
+		maps.DeleteFunc(p.cache, func(id string, _ cachedEndpoints) bool { return v.Records[id] == nil })
 	}
 	return out
 }
 
-func makeEndpoints(r *membership.ObservedRecord) madeEndpoints {
-	made := madeEndpoints{of: r, list: make([]route.Endpoint, len(r.Backends))}
+func buildEndpoints(r *membership.ObservedRecord) cachedEndpoints {
+	cached := cachedEndpoints{record: r, endpoints: make([]route.Endpoint, len(r.Backends))}
 	for i, b := range r.Backends {
-		made.list[i] = endpointOf(r, b)
+		cached.endpoints[i] = endpointOf(r, b)
 	}
-	return made
+	return cached
 }
 
 func endpointOf(r *membership.ObservedRecord, b membership.Backend) route.Endpoint {
@@ -234,21 +234,21 @@
 	return e
 }
 
-// holders returns how many backend servers of a service take calls.
-func (p *pickers) holders(service string) int { return (*p.ready.Load())[service] }
+// readyBackends returns how many backend servers of a service take calls.
+func (p *pickers) readyBackends(service string) int { return (*p.readyCounts.Load())[service] }
 
-// of returns the picker of a service; it knows no endpoints if no node holds it.
-func (p *pickers) of(service string) *route.Picker {
+// forService returns the picker of a service; it knows no endpoints if no node holds it.
+func (p *pickers) forService(service string) *route.Picker {
 	if picker := (*p.byService.Load())[service]; picker != nil {
 		return picker
 	}
-	return p.none
+	return p.empty
 }
 
 // Pick implements proxy.Pickers.
 func (p *pickers) Pick(now time.Time, t *config.Target, a proxy.Ask) (proxy.Choice, error) {
-	picker := p.of(t.Service)
-	size := p.sizes.of(t.Name)
+	picker := p.forService(t.Service)
+	size := p.sizes.forClass(t.Name)
 	var c route.Choice
 	var err error
 	if a.Look != proxy.LookNot {
@@ -258,7 +258,7 @@
 		// are in one data centre, what is left is in the others.
 		c, err = picker.PickAnywhere(now, a.Tried)
 	} else {
-		c, err = picker.PickFor(now, route.PickInfo{Tried: a.Tried, Idempotent: t.Idempotent, RemoteCost: size.far()})
+		c, err = picker.PickFor(now, route.PickInfo{Tried: a.Tried, Idempotent: t.Idempotent, RemoteCost: size.remoteCost()})
 	}
 	if err != nil {
 		return nil, err
@@ -268,21 +268,21 @@
 
 // PickFixed implements proxy.Pickers.
 func (p *pickers) PickFixed(now time.Time, t *config.Target, key uint64, tried []string) (proxy.Choice, error) {
-	c, err := p.of(t.Service).PickByKey(now, key, tried)
+	c, err := p.forService(t.Service).PickByKey(now, key, tried)
 	if err != nil {
 		return nil, err
 	}
-	return newChoice(c, p.sizes.of(t.Name)), nil
+	return newChoice(c, p.sizes.forClass(t.Name)), nil
 }
 
 // TriedAll implements proxy.Pickers.
 func (p *pickers) TriedAll(now time.Time, t *config.Target, tried []string) bool {
-	return p.of(t.Service).TriedAll(now, tried)
+	return p.forService(t.Service).TriedAll(now, tried)
 }
 
-// fixed returns the ID of the endpoint that route.Picker.PickByKey picks, or "".
-func (p *pickers) fixed(now time.Time, service string, key uint64, avoid []string) string {
-	return p.of(service).EndpointByKey(now, key, avoid)
+// endpointByKey returns the ID of the endpoint that route.Picker.PickByKey picks, or "".
+func (p *pickers) endpointByKey(now time.Time, service string, key uint64, avoid []string) string {
+	return p.forService(service).EndpointByKey(now, key, avoid)
 }
 
 // choice gives route.Choice the shape that the proxy asks for. It is used again
@@ -292,10 +292,10 @@
 	size *answerSize
 }
 
-var choices = sync.Pool{New: func() any { return new(choice) }}
+var choicePool = sync.Pool{New: func() any { return new(choice) }}
 
 func newChoice(c route.Choice, size *answerSize) *choice {
-	out := choices.Get().(*choice)
+	out := choicePool.Get().(*choice)
 	out.c, out.size = c, size
 	return out
 }
@@ -317,5 +317,5 @@
 		c.size.add(r.Bytes)
 	}
 	*c = choice{}
-	choices.Put(c)
+	choicePool.Put(c)
 }
--- a/internal/node/pickers_bench_test.go
+++ b/internal/node/pickers_bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// viewOf is a view of n nodes in 5 data centres, each with a backend server of
+// newTestView is a view of n nodes in 5 data centres, each with a backend server of
 // one of 61 services.
-func viewOf(n int) *membership.View {
+func newTestView(n int) *membership.View {
 	v := &membership.View{Self: "vm-0", Records: make(map[string]*membership.ObservedRecord, n)}
 	for i := range n {
 		id := fmt.Sprintf("vm-%d", i)
@@ -31,9 +31,9 @@
 	return v
 }
 
-func pickersOf(n int) *pickers {
+func newTestPickers(n int) *pickers {
 	p := newPickers(membership.VM{ID: "vm-0", DataCentre: "dc-0", Region: "region-0"}, false)
-	p.update(time.Unix(0, 0), viewOf(n))
+	p.update(time.Unix(0, 0), newTestView(n))
 	return p
 }
 
@@ -43,9 +43,9 @@
 func BenchmarkPickers(b *testing.B) {
 	for _, n := range []int{100, 300, 600, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p := pickersOf(n)
-			views := [2]*membership.View{viewOf(n), nil}
-			views[1] = oneChanged(views[0])
+			p := newTestPickers(n)
+			views := [2]*membership.View{newTestView(n), nil}
+			views[1] = withOneChange(views[0])
 			p.update(time.Unix(0, 0), views[0])
 			b.ReportAllocs()
 			i := 0
@@ -61,8 +61,8 @@
 // BenchmarkPickersAll is BenchmarkPickers with every record changed, which is
 // also what each view cost before only what changed was worked on.
 func BenchmarkPickersAll(b *testing.B) {
-	p := pickersOf(1200)
-	views := [2]*membership.View{viewOf(1200), viewOf(1200)}
+	p := newTestPickers(1200)
+	views := [2]*membership.View{newTestView(1200), newTestView(1200)}
 	for _, r := range views[1].Records {
 		r.Backends[0].Slots++
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// oneChanged returns a view that shares all records with v but one.
-func oneChanged(v *membership.View) *membership.View {
+// withOneChange returns a view that shares all records with v but one.
+func withOneChange(v *membership.View) *membership.View {
 	next := &membership.View{Self: v.Self, Records: maps.Clone(v.Records)}
 	r := *v.Records["vm-7"]
 	r.Backends = slices.Clone(r.Backends)
@@ -89,7 +89,7 @@
 	before := heapBytes()
 	var keep [copies]*pickers
 	for i := range keep {
-		keep[i] = pickersOf(n)
+		keep[i] = newTestPickers(n)
 	}
 	after := heapBytes()
 	runtime.KeepAlive(keep)
@@ -107,11 +107,11 @@
 func BenchmarkPickersOneService(b *testing.B) {
 	for _, n := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			views := [2]*membership.View{viewOf(n), nil}
+			views := [2]*membership.View{newTestView(n), nil}
 			for _, r := range views[0].Records {
 				r.Backends[0].Service = "service-7"
 			}
-			views[1] = oneChanged(views[0])
+			views[1] = withOneChange(views[0])
 			p := newPickers(membership.VM{ID: "vm-0", DataCentre: "dc-0", Region: "region-0"}, true)
 			p.update(time.Unix(0, 0), views[0])
 			b.ReportAllocs()
--- a/internal/node/pickers_test.go
+++ b/internal/node/pickers_test.go
@@ -31,17 +31,17 @@
 		p := newPickers(self, false)
 		view := &membership.View{Self: self.ID, Records: map[string]*membership.ObservedRecord{}}
 		for range rapid.IntRange(1, 12).Draw(t, "views") {
-			view = changed(t, view)
+			view = drawView(t, view)
 			p.update(now, view)
 			now = now.Add(time.Second)
 		}
 		fresh := newPickers(self, false)
 		fresh.update(now, view)
 		for _, service := range services {
-			if got, want := endpointIDs(p, service, now), endpointIDs(fresh, service, now); !slices.Equal(got, want) {
+			if got, want := describeEndpoints(p, service, now), describeEndpoints(fresh, service, now); !slices.Equal(got, want) {
 				t.Fatalf("%s: got %v, want %v", service, got, want)
 			}
-			if got, want := p.holders(service), fresh.holders(service); got != want {
+			if got, want := p.readyBackends(service), fresh.readyBackends(service); got != want {
 				t.Fatalf("%s: got %d ready endpoints, want %d", service, got, want)
 			}
 		}
@@ -50,9 +50,9 @@
 
 var services = []string{"berths", "surveys", "cranes"}
 
-// changed returns a view in which some records are replaced, added or gone, and
+// drawView returns a view in which some records are replaced, added or gone, and
 // the others are shared with v.
-func changed(t *rapid.T, v *membership.View) *membership.View {
+func drawView(t *rapid.T, v *membership.View) *membership.View {
 	next := &membership.View{Self: v.Self, Records: map[string]*membership.ObservedRecord{}}
 	for i := range 8 {
 		id := fmt.Sprintf("vm-%d", i)
@@ -90,10 +90,10 @@
 	return r
 }
 
-// endpointIDs returns the endpoints of a service with what picking goes by.
-func endpointIDs(p *pickers, service string, now time.Time) []string {
+// describeEndpoints returns the endpoints of a service with what picking goes by.
+func describeEndpoints(p *pickers, service string, now time.Time) []string {
 	var out []string
-	for _, e := range p.of(service).Endpoints(now) {
+	for _, e := range p.forService(service).Endpoints(now) {
 		x := e.Endpoint
 		out = append(out, fmt.Sprint(x.ID, x.Addr, x.Slots, x.Ready, x.Draining, x.Suspect))
 	}
--- a/internal/node/gate_test.go
+++ b/internal/node/platform_proxy_test.go
@@ -11,32 +11,32 @@
 	"testing"
 )
 
-// gate stands on the way from one node to the platform.
-type gate struct {
+// platformProxy stands on the way from one node to the platform.
+type platformProxy struct {
 	url  string
 	down atomic.Bool
-	// lose is the id of a command whose commit takes effect and whose answer is
+	// dropAnswerOf is the id of a command whose commit takes effect and whose answer is
 	// lost; onLost is called in between.
-	lose   atomic.Pointer[string]
-	onLost func()
+	dropAnswerOf atomic.Pointer[string]
+	onDropped    func()
 }
 
-func newGate(t *testing.T, platform string) *gate {
+func newPlatformProxy(t *testing.T, platform string) *platformProxy {
 	t.Helper()
 	u, err := url.Parse(platform)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := new(gate)
+	g := new(platformProxy)
 	proxy := httputil.NewSingleHostReverseProxy(u)
 	proxy.ErrorHandler = func(http.ResponseWriter, *http.Request, error) { panic(http.ErrAbortHandler) }
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if g.down.Load() {
 			panic(http.ErrAbortHandler)
 		}
-		if g.loses(r) {
+		if g.dropsAnswer(r) {
 			proxy.ServeHTTP(httptest.NewRecorder(), r)
-			g.onLost()
+			g.onDropped()
 			panic(http.ErrAbortHandler)
 		}
 		proxy.ServeHTTP(w, r)
@@ -46,13 +46,13 @@
 	return g
 }
 
-// loses reports whether r is the commit whose answer is to be lost.
-func (g *gate) loses(r *http.Request) bool {
-	id := g.lose.Load()
+// dropsAnswer reports whether r is the commit whose answer is to be lost.
+func (g *platformProxy) dropsAnswer(r *http.Request) bool {
+	id := g.dropAnswerOf.Load()
 	if id == nil || r.Method != http.MethodPost {
 		return false
 	}
 	body, err := io.ReadAll(r.Body)
 	r.Body = io.NopCloser(bytes.NewReader(body))
-	return err == nil && bytes.Contains(body, []byte(*id)) && g.lose.CompareAndSwap(id, nil)
+	return err == nil && bytes.Contains(body, []byte(*id)) && g.dropAnswerOf.CompareAndSwap(id, nil)
 }
--- a/internal/node/policies.go
+++ b/internal/node/policies.go
@@ -49,8 +49,8 @@
 // entryParts returns the parts of the entry with these policies.
 func (p Policies) entryParts(parts proxy.EntryParts, own *pickers) proxy.EntryParts {
 	if p.RoundRobin {
-		own.plain = new(proxy.RoundRobin)
-		parts.Pickers = own.plain
+		own.roundRobin = new(proxy.RoundRobin)
+		parts.Pickers = own.roundRobin
 	}
 	if p.Retrier != nil {
 		parts.Retrier = p.Retrier
--- a/internal/node/program.go
+++ b/internal/node/program.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return nil, err
 	}
-	splits := splitsOf(s)
+	splits := newSplits(s)
 	p := &program{
 		Program: proxy.Program{
 			Matcher: matcher{m, splits}, Targets: targets{s, splits}, Version: s.Version(),
@@ -66,7 +66,7 @@
 		return nil, false
 	}
 	if split := m.splits[c.Target.Name]; split != nil {
-		return split.draw(), true
+		return split.pick(), true
 	}
 	return c.Target, true
 }
@@ -80,7 +80,7 @@
 // Target implements proxy.Targets.
 func (t targets) Target(name, service string) *config.Target {
 	if split := t.splits[name]; split != nil {
-		return split.part(service)
+		return split.forService(service)
 	}
 	if target := t.s.Target(name); target != nil && target.Service == service {
 		return target
--- a/internal/node/refresh.go
+++ b/internal/node/refresh.go
@@ -51,8 +51,8 @@
 	if v != done.view {
 		n.logView(done.view, v)
 		n.calls.pickers.update(now, v)
-		n.calls.suspects.merge(now, v)
-		n.calls.retries.setNodes(len(v.Records))
+		n.calls.suspects.mergeNotices(now, v)
+		n.calls.retries.setNodeCount(len(v.Records))
 	}
 	if f.Snapshot != done.snapshot || r != done.refused {
 		n.control.applied(f.Snapshot, r)
@@ -119,7 +119,7 @@
 // updateGates fits the gates to the backend servers here, the classes in force
 // and the number of backend servers elsewhere.
 func (n *Node) updateGates(now time.Time) {
-	holders := n.calls.pickers.holders
+	holders := n.calls.pickers.readyBackends
 	n.calls.gates.update(now, n.registry.Load(), n.store.Load().Program, holders)
 }
 
@@ -131,7 +131,7 @@
 		n.log.Info().Str("service", c.Backend.Service).Str("instance", c.Backend.Instance).
 			Stringer("change", c.Kind).Msg("announce: backend server changed")
 		if c.Kind == announce.Replaced {
-			n.calls.suspects.replaced(backendOf(c.Backend), c.PreviousState)
+			n.calls.suspects.backendReplaced(backendOf(c.Backend), c.PreviousState)
 		}
 	}
 }
--- a/internal/node/elsewhere.go
+++ b/internal/node/rejecting_submitter.go
@@ -6,12 +6,12 @@
 	"github.com/marlpass/marlpass/internal/command"
 )
 
-// acceptedElsewhere refuses operators' commands at a node that follows versions
+// rejectingSubmitter refuses operators' commands at a node that follows versions
 // accepted elsewhere: whoever accepts them would not know of the change, and the
 // next version would undo it.
-type acceptedElsewhere struct{}
+type rejectingSubmitter struct{}
 
 // Submit implements command.Submitter.
-func (acceptedElsewhere) Submit(_ context.Context, cmd command.Command) command.Result {
+func (rejectingSubmitter) Submit(_ context.Context, cmd command.Command) command.Result {
 	return cmd.Refuse(command.ReasonElsewhere, "this mesh follows a configuration that is changed elsewhere")
 }
--- a/internal/node/retries.go
+++ b/internal/node/retries.go
@@ -15,13 +15,13 @@
 // room for them. Of the slack, one half may be saved up and the other is earned
 // within the window, so that no window sees more than the whole.
 const (
-	ratioPart = 0.5
-	slackPart = 0.5
+	ratioFraction = 0.5
+	slackFraction = 0.5
 )
 
-// boundedTries is how many nodes a call is offered to where its class bounds how
+// boundedAttempts is how many nodes a call is offered to where its class bounds how
 // many backend servers may get it.
-const boundedTries = 6
+const boundedAttempts = 6
 
 // boundedBurst is how many retries a node may save up of its calls' part, where
 // the settings bound those of the whole mesh.
@@ -30,29 +30,29 @@
 // retries keeps one retry.Policy, with its budget, for each service.
 type retries struct {
 	set       settings.Retries
-	nodes     atomic.Int64 // that share the slack
+	nodeCount atomic.Int64 // that share the slack
 	byService sync.Map
-	why       tally // decisions by their reason
+	reasons   counterSet // decisions by their reason
 }
 
-// setNodes tells how many nodes share what the settings allow the mesh.
-func (r *retries) setNodes(n int) {
-	if r.set.Slack == 0 || r.nodes.Swap(int64(n)) == int64(n) {
+// setNodeCount tells how many nodes share what the settings allow the mesh.
+func (r *retries) setNodeCount(n int) {
+	if r.set.Slack == 0 || r.nodeCount.Swap(int64(n)) == int64(n) {
 		return
 	}
 	r.byService.Range(func(_, p any) bool {
-		r.share(p.(*retry.Policy))
+		r.setFloor(p.(*retry.Policy))
 		return true
 	})
 }
 
-// share gives a policy this node's part of the slack.
-func (r *retries) share(p *retry.Policy) {
+// setFloor gives a policy this node's part of the slack.
+func (r *retries) setFloor(p *retry.Policy) {
 	if r.set.Slack == 0 {
 		return
 	}
-	part := r.set.Slack * slackPart / float64(max(r.nodes.Load(), 1))
-	p.SetFloor(part/r.set.Window.Seconds(), part)
+	share := r.set.Slack * slackFraction / float64(max(r.nodeCount.Load(), 1))
+	p.SetFloor(share/r.set.Window.Seconds(), share)
 }
 
 func (r *retries) options() retry.Options {
@@ -60,8 +60,8 @@
 		return retry.Options{Budget: retry.BudgetOptions{Ratio: r.set.Ratio}}
 	}
 	return retry.Options{
-		MaxAttempts: boundedTries, ChargeReachedOnly: true,
-		Budget: retry.BudgetOptions{Ratio: r.set.Ratio * ratioPart, Burst: boundedBurst},
+		MaxAttempts: boundedAttempts, ChargeReachedOnly: true,
+		Budget: retry.BudgetOptions{Ratio: r.set.Ratio * ratioFraction, Burst: boundedBurst},
 	}
 }
 
@@ -70,13 +70,13 @@
 		return p.(*retry.Policy)
 	}
 	fresh := retry.New(r.options())
-	r.share(fresh)
+	r.setFloor(fresh)
 	p, _ := r.byService.LoadOrStore(service, fresh)
 	return p.(*retry.Policy)
 }
 
-// each calls visit with the repeats that each service's calls have left here.
-func (r *retries) each(visit func(service string, left float64)) {
+// eachBudget calls visit with the repeats that each service's calls have left here.
+func (r *retries) eachBudget(visit func(service string, remaining float64)) {
 	r.byService.Range(func(service, p any) bool {
 		visit(service.(string), p.(*retry.Policy).RemainingRetries())
 		return true
@@ -89,6 +89,6 @@
 // Decide implements proxy.Retrier.
 func (r *retries) Decide(service string, in retry.Input) retry.Decision {
 	d := r.policy(service).Decide(in)
-	r.why.add(string(d.Reason))
+	r.reasons.increment(string(d.Reason))
 	return d
 }
--- a/internal/node/rollout_peer.go
+++ b/internal/node/rollout_peer.go
@@ -72,28 +72,28 @@
 func (r *rollouts) Instruct(q *peerpb.RolloutRequest) []*peerpb.RolloutServer {
 	now := time.Now()
 	i := decodeInstruction(q)
-	if len(r.backends(i.Service)) == 0 {
+	if len(r.localServers(i.Service)) == 0 {
 		return nil
 	}
 	r.mu.Lock()
-	taken := r.guard(i.Service).Instruct(now, i)
-	if taken {
-		r.count(i)
+	accepted := r.guard(i.Service).Instruct(now, i)
+	if accepted {
+		r.startTallies(i)
 	}
 	r.mu.Unlock()
-	if taken {
+	if accepted {
 		r.n.control.backends()
 	} else {
 		r.log.Warn().Str("service", i.Service).Str("from", q.GetFrom()).Uint64("order", i.Order).Uint64("token", i.Token).
 			Msg("rollout: ignore an instruction older than what is known")
 	}
-	return r.answer(now, i.Service)
+	return r.serverReports(now, i.Service)
 }
 
-// count has the servers of a service count for the order of an instruction. What they
+// startTallies has the servers of a service count for the order of an instruction. What they
 // counted for it before, under another conductor, stays. The caller holds r.mu.
-func (r *rollouts) count(i rollout.Instruction) {
-	for _, s := range r.backends(i.Service) {
+func (r *rollouts) startTallies(i rollout.Instruction) {
+	for _, s := range r.localServers(i.Service) {
 		if s.order != i.Order {
 			s.order = i.Order
 			s.tally.Store(new(rollout.Tally))
@@ -101,8 +101,8 @@
 	}
 }
 
-// backends returns the servers of a service here, by instance.
-func (r *rollouts) backends(service string) map[string]*versionedServer {
+// localServers returns the servers of a service here, by instance.
+func (r *rollouts) localServers(service string) map[string]*versionedServer {
 	out := make(map[string]*versionedServer)
 	for instance, s := range *r.servers.Load() {
 		if s.service == service {
@@ -119,16 +119,16 @@
 	return nil
 }
 
-// answer tells what the servers of a service here have done.
-func (r *rollouts) answer(now time.Time, service string) []*peerpb.RolloutServer {
+// serverReports tells what the servers of a service here have done.
+func (r *rollouts) serverReports(now time.Time, service string) []*peerpb.RolloutServer {
 	var out []*peerpb.RolloutServer
-	for instance, s := range r.backends(service) {
+	for instance, s := range r.localServers(service) {
 		a := s.admission.Load()
-		use := r.n.calls.gates.use(proxy.Backend{Instance: instance})
+		use := r.n.calls.gates.slotUse(proxy.Backend{Instance: instance})
 		out = append(out, &peerpb.RolloutServer{
 			Instance: instance, Version: s.version,
 			InFlight: uint32(max(use.Busy+use.Waiting, 0)),
-			Held:     !a.takes(now.Add(-entering)),
+			Held:     !a.accepts(now.Add(-admissionLag)),
 			Counts:   encodeCounts(s.counts()),
 		})
 	}
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// handoverNotice is how long a server of a replaced version still takes calls once
+	// closeDelay is how long a server of a replaced version still takes calls once
 	// it is told as not ready: entry nodes learn of that in the meantime.
-	handoverNotice = 700 * time.Millisecond
-	// entering is more than a call takes from its admission until it counts as in flight.
-	entering = 100 * time.Millisecond
-	// settleAfter is how long after its start a node may still learn of servers of
+	closeDelay = 700 * time.Millisecond
+	// admissionLag is more than a call takes from its admission until it counts as in flight.
+	admissionLag = 100 * time.Millisecond
+	// settleTime is how long after its start a node may still learn of servers of
 	// another version that it can't have seen before.
-	settleAfter = 3 * time.Second
-	// rolloutWatch is the time between two looks at grants that lapse.
-	rolloutWatch = 100 * time.Millisecond
-	// rolloutRead bounds a read of the orders and records.
-	rolloutRead = 2 * time.Second
+	settleTime = 3 * time.Second
+	// lapseCheckInterval is the time between two looks at grants that lapse.
+	lapseCheckInterval = 100 * time.Millisecond
+	// rolloutReadTimeout bounds a read of the orders and records.
+	rolloutReadTimeout = 2 * time.Second
 )
 
 var (
@@ -45,9 +45,9 @@
 	log     zerolog.Logger
 	started time.Time
 
-	mu      sync.Mutex // guards guards and the servers' fields but for those on a call's path
-	guards  map[string]*rollout.Guard
-	reading map[string]bool // services whose order is being read
+	mu       sync.Mutex // guards guards and the servers' fields but for those on a call's path
+	guards   map[string]*rollout.Guard
+	fetching map[string]bool // services whose order is being read
 
 	servers atomic.Pointer[map[string]*versionedServer] // by instance
 	wake    chan struct{}
@@ -62,22 +62,22 @@
 	order     uint64
 	admission atomic.Pointer[serverAdmission]
 
-	since   time.Time // when it was first met
-	settled bool      // it takes calls until somebody says otherwise
+	firstSeen time.Time // when it was first met
+	settled   bool      // it takes calls until somebody says otherwise
 }
 
 // serverAdmission is a rollout.Admission in force at a server.
 type serverAdmission struct {
 	rollout.Admission
-	left atomic.Int64 // calls, where the admission is limited
-	// closes is when a server that isn't open any more takes its last call.
-	closes time.Time
+	remaining atomic.Int64 // calls, where the admission is limited
+	// closesAt is when a server that isn't open any more takes its last call.
+	closesAt time.Time
 }
 
-// takes reports whether a call may be admitted.
-func (a *serverAdmission) takes(now time.Time) bool {
+// accepts reports whether a call may be admitted.
+func (a *serverAdmission) accepts(now time.Time) bool {
 	if !a.Open {
-		return now.Before(a.closes)
+		return now.Before(a.closesAt)
 	}
 	return a.Until.IsZero() || now.Before(a.Until)
 }
@@ -85,7 +85,7 @@
 func newRollouts(n *Node) *rollouts {
 	r := &rollouts{
 		n: n, log: telemetry.Part(n.log, "rollout"), started: time.Now(),
-		guards: make(map[string]*rollout.Guard), reading: make(map[string]bool),
+		guards: make(map[string]*rollout.Guard), fetching: make(map[string]bool),
 		wake: make(chan struct{}, 1),
 	}
 	r.servers.Store(&map[string]*versionedServer{})
@@ -100,9 +100,9 @@
 	}
 	a := s.admission.Load()
 	switch {
-	case !a.takes(now):
+	case !a.accepts(now):
 		return errVersionHeld
-	case a.Limited && a.left.Load() <= 0:
+	case a.Limited && a.remaining.Load() <= 0:
 		return errVersionQuota
 	}
 	return nil
@@ -116,9 +116,9 @@
 	}
 	a := s.admission.Load()
 	switch {
-	case a.Limited && (!a.takes(now) || a.left.Add(-1) < 0):
+	case a.Limited && (!a.accepts(now) || a.remaining.Add(-1) < 0):
 		return errVersionQuota
-	case !a.Open && a.closes.IsZero():
+	case !a.Open && a.closesAt.IsZero():
 		return errVersionHeld
 	}
 	// Calls that waited for a slot while a baseline was closed are still run: it isn't
@@ -137,9 +137,9 @@
 	}
 }
 
-// serve takes in the backend servers that announced themselves here, and returns them as
+// setBackends takes in the backend servers that announced themselves here, and returns them as
 // other nodes are to see them.
-func (r *rollouts) serve(now time.Time, list []announce.Backend) []announce.Backend {
+func (r *rollouts) setBackends(now time.Time, list []announce.Backend) []announce.Backend {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := *r.servers.Load()
@@ -148,10 +148,10 @@
 	for i, b := range list {
 		s := old[b.Instance]
 		if s == nil || s.version != b.Version || s.service != b.Service {
-			s = &versionedServer{service: b.Service, version: b.Version, since: now, warmAt: b.LoadAt.Add(b.WarmupRemaining)}
+			s = &versionedServer{service: b.Service, version: b.Version, firstSeen: now, warmAt: b.LoadAt.Add(b.WarmupRemaining)}
 		}
 		next[b.Instance] = s
-		r.admit(now, s)
+		r.updateAdmission(now, s)
 		a := s.admission.Load()
 		out[i].Canary = a.Limited
 		if b.State == membership.BackendReady && !a.Open {
@@ -162,19 +162,19 @@
 	return out
 }
 
-// admit brings what a server takes up to date. The caller holds r.mu.
-func (r *rollouts) admit(now time.Time, s *versionedServer) {
+// updateAdmission brings what a server takes up to date. The caller holds r.mu.
+func (r *rollouts) updateAdmission(now time.Time, s *versionedServer) {
 	was := s.admission.Load()
 	g := r.guard(s.service)
-	a := r.decide(now, s, g)
-	s.settled = s.settled || a.Open && now.Sub(r.started) >= settleAfter
+	a := r.decideAdmission(now, s, g)
+	s.settled = s.settled || a.Open && now.Sub(r.started) >= settleTime
 	if was != nil && was.Admission == a {
 		return
 	}
 	next := &serverAdmission{Admission: a}
-	next.left.Store(int64(a.Limit))
+	next.remaining.Store(int64(a.Limit))
 	if was != nil && was.Open && !was.Limited && !a.Open && g.Record().Phase == rollout.Draining {
-		next.closes = now.Add(handoverNotice)
+		next.closesAt = now.Add(closeDelay)
 	}
 	s.admission.Store(next)
 	if was == nil && !a.Open || was != nil && (was.Open != a.Open || was.Limited != a.Limited) {
@@ -182,15 +182,15 @@
 	}
 }
 
-// decide returns what a server takes now, and has the table asked where that can't be told.
-func (r *rollouts) decide(now time.Time, s *versionedServer, g *rollout.Guard) rollout.Admission {
+// decideAdmission returns what a server takes now, and has the table asked where that can't be told.
+func (r *rollouts) decideAdmission(now time.Time, s *versionedServer, g *rollout.Guard) rollout.Admission {
 	if r.n.o.Orders == nil {
 		return rollout.Admission{Open: true}
 	}
-	met := r.met(s)
+	met := r.observeVersions(s)
 	a := g.Admit(now, s.version, met)
-	if at, ask := g.AskAt(s.version, met); ask && !a.Open && !now.Before(at) {
-		r.read(s.service)
+	if at, due := g.AskAt(s.version, met); due && !a.Open && !now.Before(at) {
+		r.fetchOrder(s.service)
 	}
 	return a
 }
@@ -209,10 +209,10 @@
 	return g
 }
 
-// met looks for servers of other versions. One that has taken calls before they came is of
+// observeVersions looks for servers of other versions. One that has taken calls before they came is of
 // the version that they are to replace.
-func (r *rollouts) met(s *versionedServer) rollout.Met {
-	m := rollout.Met{Since: s.since}
+func (r *rollouts) observeVersions(s *versionedServer) rollout.Met {
+	m := rollout.Met{Since: s.firstSeen}
 	if s.settled || s.version == "" {
 		return m
 	}
@@ -233,7 +233,7 @@
 
 // run looks after grants that lapse and servers that wait to be let in, until ctx ends.
 func (r *rollouts) run(ctx context.Context) {
-	ticker := time.NewTicker(rolloutWatch)
+	ticker := time.NewTicker(lapseCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -241,7 +241,7 @@
 			return
 		case <-r.wake:
 		case <-ticker.C:
-			if !r.changing(time.Now()) {
+			if !r.needsUpdate(time.Now()) {
 				continue
 			}
 		}
@@ -249,9 +249,9 @@
 	}
 }
 
-// changing reports whether what a server takes may have changed by itself.
-func (r *rollouts) changing(now time.Time) bool {
-	starting := now.Sub(r.started) < settleAfter
+// needsUpdate reports whether what a server takes may have changed by itself.
+func (r *rollouts) needsUpdate(now time.Time) bool {
+	starting := now.Sub(r.started) < settleTime
 	for _, s := range *r.servers.Load() {
 		a := s.admission.Load()
 		lapsed := !a.Until.IsZero() && !now.Before(a.Until)
@@ -262,39 +262,39 @@
 	return false
 }
 
-// refresh has run look now.
-func (r *rollouts) refresh() {
+// requestUpdate has run look now.
+func (r *rollouts) requestUpdate() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// read asks the table for the order and the record of a service, beside the caller, who
+// fetchOrder asks the table for the order and the record of a service, beside the caller, who
 // holds r.mu.
-func (r *rollouts) read(service string) {
-	if r.reading[service] {
+func (r *rollouts) fetchOrder(service string) {
+	if r.fetching[service] {
 		return
 	}
-	r.reading[service] = true
+	r.fetching[service] = true
 	go func() {
-		ctx, cancel := context.WithTimeout(r.n.parts.ctx, rolloutRead)
+		ctx, cancel := context.WithTimeout(r.n.parts.ctx, rolloutReadTimeout)
 		defer cancel()
-		order, record, err := r.stored(ctx, service)
+		order, record, err := r.loadOrder(ctx, service)
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.reading, service)
+		delete(r.fetching, service)
 		if err != nil {
 			r.log.Warn().Str("service", service).Err(err).Msg("rollout: the order is not known")
 			return
 		}
 		r.guard(service).Learn(time.Now(), order, record)
-		r.refresh()
+		r.requestUpdate()
 	}()
 }
 
-// stored returns the newest order for a service and its record; both may be empty.
-func (r *rollouts) stored(ctx context.Context, service string) (rollout.Order, rollout.Record, error) {
+// loadOrder returns the newest order for a service and its record; both may be empty.
+func (r *rollouts) loadOrder(ctx context.Context, service string) (rollout.Order, rollout.Record, error) {
 	order, found, err := r.n.o.Orders.Order(ctx, service)
 	if err != nil || !found {
 		return rollout.Order{}, rollout.Record{}, err
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -12,7 +12,7 @@
 func TestWaitingCallsOfAClosedServer(t *testing.T) {
 	now := time.Now()
 	canary := &serverAdmission{Admission: rollout.Admission{Open: true, Limited: true, Limit: 1}}
-	canary.left.Store(1)
+	canary.remaining.Store(1)
 	for _, c := range []struct {
 		name      string
 		admission *serverAdmission
@@ -21,7 +21,7 @@
 		{"a canary with a call left", canary, true},
 		{"a canary without one", canary, false},
 		{"a version that was rolled back", &serverAdmission{}, false},
-		{"a baseline that drains", &serverAdmission{closes: now.Add(-time.Second)}, true},
+		{"a baseline that drains", &serverAdmission{closesAt: now.Add(-time.Second)}, true},
 	} {
 		s := &versionedServer{service: "s", version: "v2"}
 		s.admission.Store(c.admission)
--- a/internal/node/sizes.go
+++ b/internal/node/sizes.go
@@ -6,12 +6,12 @@
 	"sync/atomic"
 )
 
-// farBytes is the size of an answer whose way to another data centre weighs as
+// remoteCostBytes is the size of an answer whose way to another data centre weighs as
 // much as one full set of slots at the endpoint. Bytes between the users' data
 // centres are dear: at their prices the way of 100 to 200 KB costs as much as the
 // answer brings. One of that size should go there only when the near endpoints could
 // not give it in time, with two or more full sets of slots waiting.
-const farBytes = 48 << 10
+const remoteCostBytes = 48 << 10
 
 // sizeWeight is the weight of one answer in the mean size of its class.
 const sizeWeight = 0.1
@@ -19,7 +19,7 @@
 // answerSizes keep the mean size of the answers of each class.
 type answerSizes struct{ byClass sync.Map }
 
-func (a *answerSizes) of(class string) *answerSize {
+func (a *answerSizes) forClass(class string) *answerSize {
 	if s, ok := a.byClass.Load(class); ok {
 		return s.(*answerSize)
 	}
@@ -44,14 +44,14 @@
 	}
 }
 
-// farLeast is what the way to another data centre weighs for the smallest answer, in
+// minRemoteCost is what the way to another data centre weighs for the smallest answer, in
 // full sets of slots: the far endpoint has to be less busy by two slots of five. Where
 // both sides have room the way buys nothing. On a calm day 0.4 took a third of the bytes that
 // 0.08 did and served as many calls in time; from 0.9 on, overloaded sites served fewer. Where
 // the near side is full, its refusal sends the call across.
-const farLeast = 0.4
+const minRemoteCost = 0.4
 
-// far returns what the way to another data centre weighs; see route.PickInfo.
-func (s *answerSize) far() float64 {
-	return farLeast + math.Float64frombits(s.bits.Load())/farBytes
+// remoteCost returns what the way to another data centre weighs; see route.PickInfo.
+func (s *answerSize) remoteCost() float64 {
+	return minRemoteCost + math.Float64frombits(s.bits.Load())/remoteCostBytes
 }
--- a/internal/node/sizes_test.go
+++ b/internal/node/sizes_test.go
@@ -25,12 +25,12 @@
 	p.Update(now, eps)
 	size := new(answerSize)
 	size.add(400)
-	ask := route.PickInfo{RemoteCost: size.far()}
+	info := route.PickInfo{RemoteCost: size.remoteCost()}
 	crossed := func(open int) int {
 		var held []route.Choice
 		n := 0
 		for range open {
-			c, err := p.PickFor(now, ask)
+			c, err := p.PickFor(now, info)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/node/split.go
+++ b/internal/node/split.go
@@ -11,15 +11,15 @@
 type split struct {
 	// parts are the target itself, once for each part, with that part's service.
 	parts []*config.Target
-	// upTo is the running sum of the weights, part by part.
-	upTo []uint64
-	// next counts the calls. It starts at random, so that the nodes of a mesh
+	// cumulative is the running sum of the weights, part by part.
+	cumulative []uint64
+	// counter counts the calls. It starts at random, so that the nodes of a mesh
 	// are not all at the same part when a version comes into force.
-	next atomic.Uint64
+	counter atomic.Uint64
 }
 
-// splitsOf returns the splits of s by the names of their targets.
-func splitsOf(s *config.Snapshot) map[string]*split {
+// newSplits returns the splits of s by the names of their targets.
+func newSplits(s *config.Snapshot) map[string]*split {
 	out := make(map[string]*split)
 	for _, t := range s.Targets() {
 		if len(t.Split) > 0 {
@@ -36,33 +36,33 @@
 		part := *t
 		part.Service, part.Split = p.Service, nil
 		sum += uint64(p.Weight)
-		s.parts, s.upTo = append(s.parts, &part), append(s.upTo, sum)
+		s.parts, s.cumulative = append(s.parts, &part), append(s.cumulative, sum)
 	}
-	s.next.Store(rand.Uint64())
+	s.counter.Store(rand.Uint64())
 	return s
 }
 
-// golden is 2^64 over the golden ratio. Its multiples are spread so evenly that
+// goldenRatio64 is 2^64 over the golden ratio. Its multiples are spread so evenly that
 // any number of calls in a row is shared out by the weights to within one or two
 // calls, where independent draws would be off by the root of their number.
-const golden = 0x9e3779b97f4a7c15
+const goldenRatio64 = 0x9e3779b97f4a7c15
 
-// draw returns the target of the part that the next call goes to.
-func (s *split) draw() *config.Target {
-	total := s.upTo[len(s.upTo)-1]
+// pick returns the target of the part that the next call goes to.
+func (s *split) pick() *config.Target {
+	total := s.cumulative[len(s.cumulative)-1]
 	// The upper half of the word, scaled to the sum of the weights: both are
 	// below 2^32, so nothing overflows.
-	at := (s.next.Add(1) * golden >> 32) * total >> 32
-	for i, upTo := range s.upTo {
-		if at < upTo {
+	at := (s.counter.Add(1) * goldenRatio64 >> 32) * total >> 32
+	for i, bound := range s.cumulative {
+		if at < bound {
 			return s.parts[i]
 		}
 	}
 	return s.parts[len(s.parts)-1]
 }
 
-// part returns the target of the part with that service, or nil.
-func (s *split) part(service string) *config.Target {
+// forService returns the target of the part with that service, or nil.
+func (s *split) forService(service string) *config.Target {
 	for _, p := range s.parts {
 		if p.Service == service {
 			return p
--- a/internal/node/split_test.go
+++ b/internal/node/split_test.go
@@ -18,7 +18,7 @@
 	for _, calls := range []int{20, 300, 5000} {
 		got := make(map[string]int)
 		for range calls {
-			got[s.draw().Service]++
+			got[s.pick().Service]++
 		}
 		if off := math.Abs(float64(got["new"]) - float64(calls)*0.1); off > 2 {
 			t.Errorf("of %d calls %d went to the new service", calls, got["new"])
@@ -27,7 +27,7 @@
 			t.Errorf("%d calls went to a part of weight 0", got["off"])
 		}
 	}
-	if s.part("new").Service != "new" || s.part("else") != nil || len(s.part("new").Split) != 0 {
+	if s.forService("new").Service != "new" || s.forService("else") != nil || len(s.forService("new").Split) != 0 {
 		t.Error("the parts are not found by their services")
 	}
 }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit+stopGrace)
 	defer cancel()
 	cut := n.servers.drain(ctx, limit)
-	n.calls.wait()
+	n.calls.shutdown()
 	n.servers.close()
 	n.control.close()
 	n.parts.stop()
--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -36,12 +36,12 @@
 	list    *quarantine.List
 	log     zerolog.Logger
 	alerter alerter
-	// changed is given this node's own notices, the same ones again included.
-	changed func([]membership.Notice)
-	// chosen returns the endpoint of a service that a key chooses, or "".
-	chosen  func(now time.Time, service string, key uint64, avoid []string) string
-	checks  sync.Map // backend ID to struct{}, while a check is under way
-	running sync.WaitGroup
+	// setNotices is given this node's own notices, the same ones again included.
+	setNotices func([]membership.Notice)
+	// endpointByKey returns the endpoint of a service that a key chooses, or "".
+	endpointByKey func(now time.Time, service string, key uint64, avoid []string) string
+	checks        sync.Map // backend ID to struct{}, while a check is under way
+	checksRunning sync.WaitGroup
 }
 
 // Blocked implements proxy.Suspects.
@@ -74,7 +74,7 @@
 // Pinned implements proxy.Suspects.
 func (s *suspects) Pinned(now time.Time, b proxy.Backend, fp quarantine.Fingerprint) *call.Refusal {
 	return s.list.Pinned(now, fp, b.Instance, func(avoid []string) string {
-		return s.chosen(now, b.Service, fp.Key(), avoid)
+		return s.endpointByKey(now, b.Service, fp.Key(), avoid)
 	})
 }
 
@@ -84,27 +84,27 @@
 }
 
 // Done implements proxy.Suspects.
-func (s *suspects) Done(now time.Time, b proxy.Backend, tok quarantine.Token, end quarantine.RunResult) {
-	s.list.Done(now, tok, end)
-	if end != quarantine.Broken {
+func (s *suspects) Done(now time.Time, b proxy.Backend, tok quarantine.Token, result quarantine.RunResult) {
+	s.list.Done(now, tok, result)
+	if result != quarantine.Broken {
 		return
 	}
 	if _, checking := s.checks.LoadOrStore(b.Instance, struct{}{}); checking {
 		return
 	}
-	s.running.Go(func() {
+	s.checksRunning.Go(func() {
 		defer s.checks.Delete(b.Instance)
-		s.check(b)
+		s.checkCrash(b)
 	})
 }
 
-// check tries one new connection. A backend server that refuses it has no
+// checkCrash tries one new connection. A backend server that refuses it has no
 // process that listens any more; one that takes it merely lost a connection.
 //
 // Only a refusal counts. A dial that times out or finds no free file tells of a
 // full queue of connections or of a want on this node; taking it for a crash
 // would make suspects of all that runs at a backend server that is merely busy.
-func (s *suspects) check(b proxy.Backend) {
+func (s *suspects) checkCrash(b proxy.Backend) {
 	c, err := net.DialTimeout("tcp", b.Addr, crashCheckTimeout)
 	if err == nil {
 		c.Close()
@@ -116,29 +116,29 @@
 		Leaving:        b.State == membership.BackendDraining,
 	}
 	if evidence.IsCrash() {
-		s.crashed(b, s.list.Crashed(time.Now(), b.Instance))
+		s.reportCrash(b, s.list.Crashed(time.Now(), b.Instance))
 	}
 }
 
-// replaced takes in that a backend server announced itself anew, under the same
+// backendReplaced takes in that a backend server announced itself anew, under the same
 // instance: its process may have crashed and come back before anybody could
 // look. was is the state of the one before: one that drained was replaced on
 // plan.
-func (s *suspects) replaced(b proxy.Backend, was membership.BackendState) {
+func (s *suspects) backendReplaced(b proxy.Backend, was membership.BackendState) {
 	evidence := quarantine.Evidence{Broken: true, Restarted: true, Leaving: was == membership.BackendDraining}
 	if !evidence.IsCrash() {
 		return
 	}
 	if urgent := s.list.Restarted(time.Now(), b.Instance); len(urgent) > 0 {
-		s.crashed(b, urgent)
+		s.reportCrash(b, urgent)
 	}
 }
 
-// crashed tells the mesh of a crash and of the requests that may have caused it.
-func (s *suspects) crashed(b proxy.Backend, urgent []membership.Notice) {
+// reportCrash tells the mesh of a crash and of the requests that may have caused it.
+func (s *suspects) reportCrash(b proxy.Backend, urgent []membership.Notice) {
 	s.log.Warn().Str("service", b.Service).Str("instance", b.Instance).Int("suspects", len(urgent)).
 		Msg("quarantine: backend server crashed")
-	s.tell(time.Now())
+	s.publishNotices(time.Now())
 	if len(urgent) == 0 {
 		return
 	}
@@ -147,22 +147,22 @@
 	s.alerter.alert(ctx, b.Service, urgent)
 }
 
-// tell makes this node's record hold what is true now of the suspects found
+// publishNotices makes this node's record hold what is true now of the suspects found
 // here. That changes without a crash: one is answered, lifted by an operator at
 // any node, or expires. A record that went on telling of a quarantine would
 // bring it back at every node that starts after the one that told of the lift
 // has gone.
-func (s *suspects) tell(now time.Time) { s.changed(s.list.Notices(now)) }
+func (s *suspects) publishNotices(now time.Time) { s.setNotices(s.list.Notices(now)) }
 
-// forget drops what is noted of backend servers that left long ago.
-func (s *suspects) forget(now time.Time, list []announce.Backend) {
+// pruneBackends drops what is noted of backend servers that left long ago.
+func (s *suspects) pruneBackends(now time.Time, list []announce.Backend) {
 	s.list.Retain(now, func(instance string) bool {
 		return slices.ContainsFunc(list, func(b announce.Backend) bool { return b.Instance == instance })
 	})
 }
 
-// merge takes in what other nodes tell in their records.
-func (s *suspects) merge(now time.Time, v *membership.View) {
+// mergeNotices takes in what other nodes tell in their records.
+func (s *suspects) mergeNotices(now time.Time, v *membership.View) {
 	for id, r := range v.Records {
 		if id != v.Self && len(r.Notices) > 0 {
 			s.list.MergeNotices(now, id, r.Notices)
--- a/internal/node/suspects_test.go
+++ b/internal/node/suspects_test.go
@@ -13,16 +13,16 @@
 	"github.com/marlpass/marlpass/internal/quarantine"
 )
 
-// told counts the alerts.
-type told struct{ alerts int }
+// alertCounter counts the alerts.
+type alertCounter struct{ alerts int }
 
-func (t *told) alert(context.Context, string, []membership.Notice) { t.alerts++ }
+func (t *alertCounter) alert(context.Context, string, []membership.Notice) { t.alerts++ }
 
-func newSuspects() (*suspects, *told) {
-	t := new(told)
+func newSuspects() (*suspects, *alertCounter) {
+	t := new(alertCounter)
 	return &suspects{
 		list: quarantine.New(time.Now(), quarantine.Options{Self: "vm1"}),
-		log:  zerolog.Nop(), alerter: t, changed: func([]membership.Notice) {},
+		log:  zerolog.Nop(), alerter: t, setNotices: func([]membership.Notice) {},
 	}, t
 }
 
@@ -47,7 +47,7 @@
 		b := proxy.Backend{Service: "berths", Instance: "a", State: membership.BackendReady}
 		for range 2 {
 			tok := s.begin(t, b)
-			s.replaced(b, was)
+			s.backendReplaced(b, was)
 			s.list.Done(time.Now(), tok, quarantine.Answered)
 		}
 		if r := s.Blocked(time.Now(), slowBooking); r != nil || alerts.alerts > 0 || s.Isolated(time.Now(), slowBooking) {
@@ -62,7 +62,7 @@
 	s, alerts := newSuspects()
 	b := proxy.Backend{Service: "berths", Instance: "a", State: membership.BackendReady}
 	s.list.Done(time.Now(), s.begin(t, b), quarantine.Broken)
-	s.replaced(b, membership.BackendReady)
+	s.backendReplaced(b, membership.BackendReady)
 	if !s.Isolated(time.Now(), slowBooking) || alerts.alerts != 1 {
 		t.Fatalf("isolated %t, %d alerts", s.Isolated(time.Now(), slowBooking), alerts.alerts)
 	}
@@ -87,7 +87,7 @@
 		s, _ := newSuspects()
 		b := proxy.Backend{Service: "berths", Instance: "a", Addr: tt.addr, State: membership.BackendReady}
 		s.Done(time.Now(), b, s.begin(t, b), quarantine.Broken)
-		s.running.Wait()
+		s.checksRunning.Wait()
 		if got := s.Isolated(time.Now(), slowBooking); got != tt.crash {
 			t.Errorf("%s: suspected %t", tt.name, got)
 		}
--- a/internal/node/view_log_test.go
+++ b/internal/node/view_log_test.go
@@ -17,7 +17,7 @@
 	const vms = 1200
 	var out bytes.Buffer
 	n := &Node{log: zerolog.New(&out), self: membership.VM{ID: "vm-0"}}
-	all := viewOf(vms)
+	all := newTestView(vms)
 	n.logView(nil, all)
 	if lines := strings.Count(out.String(), "\n"); lines != viewLines+1 {
 		t.Errorf("%d lines about %d nodes", lines, vms)
--- a/internal/node/workspaces.go
+++ b/internal/node/workspaces.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	// usageBound bounds an exchange with a collector.
-	usageBound = 250 * time.Millisecond
-	// reportPerNode is the least time between two reports of a node for each node of its data
+	// usageTimeout bounds an exchange with a collector.
+	usageTimeout = 250 * time.Millisecond
+	// reportIntervalPerNode is the least time between two reports of a node for each node of its data
 	// centre, so that a collector's work doesn't grow with the mesh.
-	reportPerNode = 8 * time.Millisecond
-	// limitedRest is how long a workspace has to be within its quota to count as such again.
-	limitedRest = 3 * time.Second
-	// overQuotaAgain is the mean time after which callers over their quota are told to come
+	reportIntervalPerNode = 8 * time.Millisecond
+	// limitedClearAfter is how long a workspace has to be within its quota to count as such again.
+	limitedClearAfter = 3 * time.Second
+	// overQuotaRetryAfter is the mean time after which callers over their quota are told to come
 	// back, and unconfirmedAgain the same where keys are not confirmed.
-	overQuotaAgain   = time.Second
-	unconfirmedAgain = time.Second
+	overQuotaRetryAfter   = time.Second
+	unconfirmedRetryAfter = time.Second
 )
 
 // workspaces bounds the calls of workspaces: it refuses those with a key that may have been taken
@@ -45,9 +45,9 @@
 	mu        sync.Mutex // guards collector, limited
 	collector *quota.Collector
 	limited   map[string]time.Time // when a workspace was last over its quota
-	// collecting holds an element when a node may have begun to tell this one.
-	collecting chan struct{}
-	quotas     atomic.Pointer[quotas]
+	// reported holds an element when a node may have begun to tell this one.
+	reported chan struct{}
+	quotas   atomic.Pointer[quotas]
 }
 
 // quotas are the limits of one version of the configuration.
@@ -59,29 +59,29 @@
 func newWorkspaces(n *Node) *workspaces {
 	return &workspaces{
 		n: n, log: telemetry.Part(n.log, "workspaces"),
-		limiter: quota.NewLimiter(time.Now()), collector: quota.NewCollector(), collecting: make(chan struct{}, 1),
+		limiter: quota.NewLimiter(time.Now()), collector: quota.NewCollector(), reported: make(chan struct{}, 1),
 		limited: make(map[string]time.Time),
 	}
 }
 
-// assured is a spread that knows for how long the version in force may have been replaced.
-type assured interface {
+// assuredSource is a spread that knows for how long the version in force may have been replaced.
+type assuredSource interface {
 	AssuredAge(now time.Time) (age time.Duration, known bool)
 }
 
-var _ assured = (*follow.Runner)(nil)
+var _ assuredSource = (*follow.Runner)(nil)
 
 // Confirmed implements proxy.Workspaces.
 func (w *workspaces) Confirmed(now time.Time) *call.Refusal {
 	bound := w.n.set.Workspaces.ConfirmWithin.Duration
-	versions, ok := w.n.control.spread.(assured)
+	versions, ok := w.n.control.spread.(assuredSource)
 	if bound == 0 || !ok {
 		return nil
 	}
 	if age, known := versions.AssuredAge(now); known && age < bound {
 		return nil
 	}
-	return &call.Refusal{Reason: call.ReasonUnconfirmed, RetryAfter: around(unconfirmedAgain)}
+	return &call.Refusal{Reason: call.ReasonUnconfirmed, RetryAfter: jitterHalf(unconfirmedRetryAfter)}
 }
 
 // Admit implements proxy.Workspaces.
@@ -89,7 +89,7 @@
 	if ws.RatePerSecond == 0 || w.limiter.Admit(ws.Name) {
 		return nil
 	}
-	return &call.Refusal{Reason: call.ReasonOverQuota, Detail: "workspace " + ws.Name, RetryAfter: around(overQuotaAgain)}
+	return &call.Refusal{Reason: call.ReasonOverQuota, Detail: "workspace " + ws.Name, RetryAfter: jitterHalf(overQuotaRetryAfter)}
 }
 
 // GiveBack implements proxy.Workspaces.
@@ -99,9 +99,9 @@
 	}
 }
 
-// around returns a time from half to one and a half of mean, so that callers who were refused
+// jitterHalf returns a time from half to one and a half of mean, so that callers who were refused
 // together don't come back together.
-func around(mean time.Duration) time.Duration { return mean/2 + rand.N(mean) }
+func jitterHalf(mean time.Duration) time.Duration { return mean/2 + rand.N(mean) }
 
 // limits returns the quotas of the configuration in force.
 func (w *workspaces) limits() map[string]quota.Limit {
@@ -110,25 +110,25 @@
 		return q.limits
 	}
 	set := w.n.set.Workspaces
-	terms := quota.Policy{Window: set.QuotaWindow.Duration, Overage: set.QuotaOverage, Slack: set.QuotaSlack}
+	policy := quota.Policy{Window: set.QuotaWindow.Duration, Overage: set.QuotaOverage, Slack: set.QuotaSlack}
 	out := make(map[string]quota.Limit)
 	for _, ws := range snapshot.Workspaces() {
 		if ws.RatePerSecond > 0 {
-			out[ws.Name] = terms.Limit(ws.RatePerSecond, ws.Burst)
+			out[ws.Name] = policy.Limit(ws.RatePerSecond, ws.Burst)
 		}
 	}
 	w.quotas.Store(&quotas{snapshot, out})
 	return out
 }
 
-// usageReports is what the reports of a node go by.
-type usageReports struct {
-	w        *workspaces
-	called   time.Time // when a workspace last had calls
-	answered time.Time // when a collector last answered, zero if none has
-	last     []quota.Usage
-	alone    bool // no collector has answered for quota.FallbackAfter
-	sent     time.Time
+// usageReporter is what the reports of a node go by.
+type usageReporter struct {
+	w             *workspaces
+	lastCalled    time.Time // when a workspace last had calls
+	lastAnswered  time.Time // when a collector last answered, zero if none has
+	answeredUsage []quota.Usage
+	fallback      bool // no collector has answered for quota.FallbackAfter
+	lastSent      time.Time
 }
 
 // run tells a collector what calls of workspaces there are, and applies its answers, until ctx
@@ -136,128 +136,128 @@
 func (w *workspaces) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { w.exchange(ctx) })
-	r := &usageReports{w: w, sent: time.Now()}
+	wg.Go(func() { w.exchangeTotals(ctx) })
+	r := &usageReporter{w: w, lastSent: time.Now()}
 	for ctx.Err() == nil {
-		r.await(ctx)
-		r.once(ctx)
+		r.awaitDue(ctx)
+		r.report(ctx)
 	}
 }
 
-// await returns when the next report is due.
-func (r *usageReports) await(ctx context.Context) {
+// awaitDue returns when the next report is due.
+func (r *usageReporter) awaitDue(ctx context.Context) {
 	var due <-chan time.Time
-	if !r.rests(time.Now()) {
-		timer := time.NewTimer(r.w.reportEvery())
+	if !r.idle(time.Now()) {
+		timer := time.NewTimer(r.w.reportInterval())
 		defer timer.Stop()
 		due = timer.C
 	}
 	select {
 	case <-ctx.Done():
 	case <-r.w.limiter.Surge():
-		_ = wait.For(ctx, quota.MinReportInterval-time.Since(r.sent))
+		_ = wait.For(ctx, quota.MinReportInterval-time.Since(r.lastSent))
 	case <-due:
 	}
 }
 
-// rests reports whether no workspace has had calls for a while.
-func (r *usageReports) rests(now time.Time) bool { return now.Sub(r.called) > quota.IdleAfter }
+// idle reports whether no workspace has had calls for a while.
+func (r *usageReporter) idle(now time.Time) bool { return now.Sub(r.lastCalled) > quota.IdleAfter }
 
-// reportEvery is the time between two reports of this node.
-func (w *workspaces) reportEvery() time.Duration {
+// reportInterval is the time between two reports of this node.
+func (w *workspaces) reportInterval() time.Duration {
 	nodes := 0
 	for _, r := range w.n.views.Load().Records {
 		if r.VM.DataCentre == w.n.self.DataCentre {
 			nodes++
 		}
 	}
-	return max(quota.ReportInterval, time.Duration(nodes)*reportPerNode)
+	return max(quota.ReportInterval, time.Duration(nodes)*reportIntervalPerNode)
 }
 
-// once makes one report.
-func (r *usageReports) once(ctx context.Context) {
+// report makes one report.
+func (r *usageReporter) report(ctx context.Context) {
 	now := time.Now()
-	span := now.Sub(r.sent)
+	sinceReport := now.Sub(r.lastSent)
 	usage := r.w.limiter.Report(now)
-	r.sent = now
+	r.lastSent = now
 	if slices.ContainsFunc(usage, func(u quota.Usage) bool { return u.RecentRate > 0 }) {
-		r.called = now
+		r.lastCalled = now
 	}
-	if r.rests(now) {
+	if r.idle(now) {
 		r.w.limiter.ReportNextCall()
 		return
 	}
-	parts, ok := r.w.tell(ctx, usage)
+	admissions, ok := r.w.reportUsage(ctx, usage)
 	if !ok {
-		r.unanswered(now, span)
+		r.applyFallback(now, sinceReport)
 		return
 	}
-	if r.alone {
-		r.alone = false
+	if r.fallback {
+		r.fallback = false
 		r.w.log.Info().Msg("workspaces: a collector of the quotas answers again")
 	}
-	r.answered, r.last = time.Now(), usage
-	r.w.limiter.Apply(parts)
+	r.lastAnswered, r.answeredUsage = time.Now(), usage
+	r.w.limiter.Apply(admissions)
 }
 
-func (r *usageReports) unanswered(now time.Time, span time.Duration) {
-	since := now.Sub(r.answered)
-	if !r.alone && since >= quota.FallbackAfter {
-		r.alone = true
+func (r *usageReporter) applyFallback(now time.Time, sinceReport time.Duration) {
+	sinceAnswer := now.Sub(r.lastAnswered)
+	if !r.fallback && sinceAnswer >= quota.FallbackAfter {
+		r.fallback = true
 		r.w.log.Warn().Msg("workspaces: no collector of the quotas answers, calls pass by this node's own part")
 	}
 	r.w.limiter.ApplyFallback(quota.Fallback{
-		SinceReport: span, SinceAnswer: since, Nodes: len(r.w.n.views.Load().Records), Limits: r.w.limits(), LastAnswered: r.last,
+		SinceReport: sinceReport, SinceAnswer: sinceAnswer, Nodes: len(r.w.n.views.Load().Records), Limits: r.w.limits(), LastAnswered: r.answeredUsage,
 	})
 }
 
-// tell tells the first feeder of the data centre that answers.
-func (w *workspaces) tell(ctx context.Context, usage []quota.Usage) ([]quota.Admission, bool) {
+// reportUsage tells the first feeder of the data centre that answers.
+func (w *workspaces) reportUsage(ctx context.Context, usage []quota.Usage) ([]quota.Admission, bool) {
 	view := w.n.views.Load()
 	for _, id := range distribute.PositionOf(view, w.n.self.ID, w.n.self.DataCentre).Feeders {
 		if id == w.n.self.ID {
-			return w.decide(func(now time.Time) {
+			return w.recordAndDecide(func(now time.Time) {
 				w.collector.AddNodeReport(now, id, w.n.self.Incarnation, usage)
 			}), true
 		}
-		parts, err := w.send(ctx, view.Records[id], usage, false)
+		admissions, err := w.sendUsage(ctx, view.Records[id], usage, false)
 		if err == nil {
-			return parts, true
+			return admissions, true
 		}
 		w.log.Debug().Str("peer", id).Err(err).Msg("workspaces: a collector does not answer, ask the next one")
 	}
 	return nil, false
 }
 
-func (w *workspaces) send(ctx context.Context, to *membership.ObservedRecord, usage []quota.Usage, summed bool) ([]quota.Admission, error) {
-	ctx, cancel := context.WithTimeout(ctx, usageBound)
+func (w *workspaces) sendUsage(ctx context.Context, to *membership.ObservedRecord, usage []quota.Usage, summed bool) ([]quota.Admission, error) {
+	ctx, cancel := context.WithTimeout(ctx, usageTimeout)
 	defer cancel()
-	parts, err := w.n.control.peers.Usage(ctx, to.VM.ID, to.VM.ControlAddr, &peerpb.UsageRequest{
+	admissions, err := w.n.control.peers.Usage(ctx, to.VM.ID, to.VM.ControlAddr, &peerpb.UsageRequest{
 		Incarnation: w.n.self.Incarnation, Summed: summed, Usage: encodeUsage(usage),
 	})
-	return decodeParts(parts), err
+	return decodeAdmissions(admissions), err
 }
 
-// decide takes a report in, and returns what may pass.
-func (w *workspaces) decide(report func(now time.Time)) []quota.Admission {
+// recordAndDecide takes a report in, and returns what may pass.
+func (w *workspaces) recordAndDecide(record func(now time.Time)) []quota.Admission {
 	limits := w.limits()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	report(now)
+	record(now)
 	select {
-	case w.collecting <- struct{}{}:
+	case w.reported <- struct{}{}:
 	default:
 	}
-	parts := w.collector.Decide(now, limits)
-	w.logLimited(now, parts, limits)
-	return parts
+	admissions := w.collector.Decide(now, limits)
+	w.logLimited(now, admissions, limits)
+	return admissions
 }
 
 // logLimited tells of workspaces that begin to be over their quota, and of those that have not
 // been for a while. The caller holds w.mu.
-func (w *workspaces) logLimited(now time.Time, parts []quota.Admission, limits map[string]quota.Limit) {
-	for _, p := range parts {
+func (w *workspaces) logLimited(now time.Time, admissions []quota.Admission, limits map[string]quota.Limit) {
+	for _, p := range admissions {
 		if _, known := w.limited[p.Workspace]; !known {
 			w.log.Info().Str("workspace", p.Workspace).Float64("part", p.Ratio).
 				Float64("asked_per_s", w.collector.DemandRate(p.Workspace)).Float64("limit_per_s", limits[p.Workspace].Rate).
@@ -266,7 +266,7 @@
 		w.limited[p.Workspace] = now
 	}
 	for name, at := range w.limited {
-		if now.Sub(at) > limitedRest {
+		if now.Sub(at) > limitedClearAfter {
 			delete(w.limited, name)
 			w.log.Info().Str("workspace", name).Msg("workspaces: a workspace is within its quota again")
 		}
@@ -276,7 +276,7 @@
 // Collect implements peer.Collector.
 func (w *workspaces) Collect(q *peerpb.UsageRequest) []*peerpb.WorkspacePart {
 	usage := decodeUsage(q.Usage)
-	return encodeParts(w.decide(func(now time.Time) {
+	return encodeAdmissions(w.recordAndDecide(func(now time.Time) {
 		if q.Summed {
 			w.collector.AddCollectorReport(now, q.From, q.Incarnation, usage)
 			return
@@ -285,29 +285,29 @@
 	}))
 }
 
-// exchange tells the other collectors what the nodes that tell this one take.
-func (w *workspaces) exchange(ctx context.Context) {
+// exchangeTotals tells the other collectors what the nodes that tell this one take.
+func (w *workspaces) exchangeTotals(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.collecting:
+		case <-w.reported:
 		}
 		if wait.For(ctx, quota.ExchangeInterval) != nil {
 			return
 		}
 		w.mu.Lock()
-		collects := w.collector.NodeCount() > 0
-		sums := w.collector.NodeTotals()
+		collecting := w.collector.NodeCount() > 0
+		totals := w.collector.NodeTotals()
 		w.mu.Unlock()
-		if !collects {
+		if !collecting {
 			continue // others tell this node of sums only
 		}
 		view := w.n.views.Load()
 		var wg sync.WaitGroup
 		for _, id := range w.collectors(view) {
 			wg.Go(func() {
-				if _, err := w.send(ctx, view.Records[id], sums, true); err != nil {
+				if _, err := w.sendUsage(ctx, view.Records[id], totals, true); err != nil {
 					w.log.Debug().Str("peer", id).Err(err).Msg("workspaces: a collector was not told of the sums")
 				}
 			})
--- a/internal/node/workspaces_test.go
+++ b/internal/node/workspaces_test.go
@@ -12,7 +12,7 @@
 	"github.com/marlpass/marlpass/internal/node"
 )
 
-const keyOfYard = "yard-key"
+const yardKey = "yard-key"
 
 // The quota in these tests, and how users count calls against it.
 const (
@@ -28,11 +28,11 @@
 	o.Settings.Workspaces.QuotaOverage, o.Settings.Workspaces.QuotaSlack = quotaOverage, quotaSlack
 }
 
-// stateWorkspace puts a version in force on all nodes that has a workspace with one key.
-func (w *testMesh) stateWorkspace() {
+// applyWorkspace puts a version in force on all nodes that has a workspace with one key.
+func (w *testMesh) applyWorkspace() {
 	w.t.Helper()
 	yard := config.Workspace{
-		Name: "yard", Team: "ops", Keys: []config.KeyDigest{config.DigestOf(keyOfYard)}, RatePerSecond: quotaRate, Burst: quotaBurst,
+		Name: "yard", Team: "ops", Keys: []config.KeyDigest{config.DigestOf(yardKey)}, RatePerSecond: quotaRate, Burst: quotaBurst,
 	}
 	for _, vm := range w.VMs {
 		next, _, err := vm.Node().Snapshot().Next([]config.Object{config.EncodeWorkspace(yard)}, nil)
@@ -43,8 +43,8 @@
 	}
 }
 
-// askWithKey makes one call with a key and returns the status.
-func (w *testMesh) askWithKey(vm *localmesh.VM, key string) int {
+// callWithKey makes one call with a key and returns the status.
+func (w *testMesh) callWithKey(vm *localmesh.VM, key string) int {
 	req, err := http.NewRequestWithContext(w.ctx, http.MethodGet, "http://"+vm.Node().Addrs().Callers+lookup, nil)
 	if err != nil {
 		w.t.Error(err)
@@ -65,8 +65,8 @@
 func TestQuotaHoldsOverTheMesh(t *testing.T) {
 	w := startMesh(t, 3, withQuotas)
 	w.hold(w.VMs[0])
-	w.stateWorkspace()
-	if got := w.askWithKey(w.VMs[1], "other"); got != http.StatusUnauthorized {
+	w.applyWorkspace()
+	if got := w.callWithKey(w.VMs[1], "other"); got != http.StatusUnauthorized {
 		t.Fatalf("an unknown key is answered %d", got)
 	}
 	var passed, refused atomic.Int64
@@ -77,7 +77,7 @@
 			every := time.NewTicker(3 * time.Second / (10 * quotaRate))
 			defer every.Stop()
 			for time.Now().Before(end) {
-				switch status := w.askWithKey(vm, keyOfYard); status {
+				switch status := w.callWithKey(vm, yardKey); status {
 				case http.StatusOK:
 					passed.Add(1)
 				case http.StatusTooManyRequests:
--- a/internal/node/workspaces_wire.go
+++ b/internal/node/workspaces_wire.go
@@ -37,7 +37,7 @@
 	return min(v, config.MaxRatePerSecond)
 }
 
-func encodeParts(list []quota.Admission) []*peerpb.WorkspacePart {
+func encodeAdmissions(list []quota.Admission) []*peerpb.WorkspacePart {
 	out := make([]*peerpb.WorkspacePart, len(list))
 	for i, p := range list {
 		out[i] = &peerpb.WorkspacePart{Workspace: p.Workspace, Part: p.Ratio}
@@ -45,7 +45,7 @@
 	return out
 }
 
-func decodeParts(list []*peerpb.WorkspacePart) []quota.Admission {
+func decodeAdmissions(list []*peerpb.WorkspacePart) []quota.Admission {
 	out := make([]quota.Admission, len(list))
 	for i, p := range list {
 		out[i] = quota.Admission{Workspace: p.GetWorkspace(), Ratio: min(rateOf(p.GetPart()), 1)}
--- a/internal/node/workspaces_wire_test.go
+++ b/internal/node/workspaces_wire_test.go
@@ -12,7 +12,7 @@
 func TestUsageOfPeersIsBounded(t *testing.T) {
 	for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 1e300} {
 		u := decodeUsage([]*peerpb.WorkspaceUsage{{Workspace: "w", Recent: v, Usual: v, Admitted: math.MaxUint64}})[0]
-		p := decodeParts([]*peerpb.WorkspacePart{{Workspace: "w", Part: v}})[0]
+		p := decodeAdmissions([]*peerpb.WorkspacePart{{Workspace: "w", Part: v}})[0]
 		ok := u.RecentRate >= 0 && u.RecentRate <= 1e6 && u.AverageRate >= 0 && u.AverageRate <= 1e6 && u.Admitted >= 0
 		if !ok || !(p.Ratio >= 0 && p.Ratio <= 1) {
 			t.Errorf("%v: %+v, %+v", v, u, p)
