--- a/internal/node/policies.go
+++ b/internal/node/policies.go
@@ -14,8 +14,8 @@
 	FixedLimit bool
 	// Retrier decides on retries; nil takes the node's own.
 	Retrier proxy.Retrier
-	// NoKeeper runs keyed calls without a claim.
-	NoKeeper bool
+	// NoDeduplication runs keyed calls without a claim.
+	NoDeduplication bool
 	// NoQuarantine keeps no request from running.
 	NoQuarantine bool
 }
@@ -28,7 +28,7 @@
 func Baseline() Policies {
 	return Policies{
 		RoundRobin: true, FixedLimit: true, Retrier: proxy.RetryAlwaysUpTo(baselineAttempts),
-		NoKeeper: true, NoQuarantine: true,
+		NoDeduplication: true, NoQuarantine: true,
 	}
 }
 
@@ -37,7 +37,7 @@
 	if p.FixedLimit {
 		parts.Gates = new(proxy.FixedLimit)
 	}
-	if p.NoKeeper {
+	if p.NoDeduplication {
 		parts.Deduplicator = nil
 	}
 	if p.NoQuarantine {
@@ -49,8 +49,8 @@
 // entryParts returns the parts of the entry with these policies.
 func (p Policies) entryParts(parts proxy.EntryOptions, own *pickers) proxy.EntryOptions {
 	if p.RoundRobin {
-		own.plain = new(proxy.RoundRobin)
-		parts.Pickers = own.plain
+		own.roundRobin = new(proxy.RoundRobin)
+		parts.Pickers = own.roundRobin
 	}
 	if p.Retrier != nil {
 		parts.Retrier = p.Retrier
