--- a/internal/node/callpath.go
+++ b/internal/node/callpath.go
@@ -24,7 +24,7 @@
 	pickers   *pickers
 	gates     *gates
 	suspects  *suspects
-	keeper    *once.Keeper
+	keeper    *once.Deduplicator
 	upstreams *proxy.Upstreams // to backend servers
 	nodes     *proxy.Upstreams // to other nodes
 	entry     *proxy.Entry
--- a/internal/node/keeper.go
+++ b/internal/node/keeper.go
@@ -7,8 +7,8 @@
 	"github.com/marlpass/marlpass/internal/proxy"
 )
 
-// keeper gives once.Keeper the shape that the proxy asks for.
-type keeper struct{ k *once.Keeper }
+// keeper gives once.Deduplicator the shape that the proxy asks for.
+type keeper struct{ k *once.Deduplicator }
 
 // Begin implements proxy.Keeper.
 func (k keeper) Begin(ctx context.Context, c proxy.KeyedCall) (proxy.Claim, *proxy.Stored, error) {
@@ -16,7 +16,7 @@
 		Service:     c.Target.Service,
 		Key:         c.Key,
 		Fingerprint: c.Fingerprint,
-		Rule:        c.Target.StoreDownRule(),
+		StoreDown:   c.Target.StoreDownRule(),
 		Deadline:    c.Deadline,
 	})
 	switch {
@@ -30,18 +30,18 @@
 	return claim{b.Run}, nil, nil
 }
 
-func storedOf(s *once.Stored) *proxy.Stored {
+func storedOf(s *once.StoredOutcome) *proxy.Stored {
 	return &proxy.Stored{Status: s.Status, Header: s.Header, Body: s.Body, TooLarge: s.Truncated}
 }
 
 // claim gives once.Claim the shape that the proxy asks for. Errors of Finish
-// and Abandon are settled later by Keeper.Flush.
+// and Abandon are settled later by Deduplicator.Flush.
 type claim struct{ c *once.Claim }
 
 func (c claim) Started(ctx context.Context) error { return c.c.Started(ctx) }
 
 func (c claim) Finish(ctx context.Context, s proxy.Stored) {
-	_ = c.c.Finish(ctx, once.Stored{Status: s.Status, Header: s.Header, Body: s.Body, Truncated: s.TooLarge})
+	_ = c.c.Finish(ctx, once.StoredOutcome{Status: s.Status, Header: s.Header, Body: s.Body, Truncated: s.TooLarge})
 }
 
 func (c claim) Abandon(ctx context.Context) { _ = c.c.Abandon(ctx) }
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -31,7 +31,7 @@
 	maintenanceJitter    = 0.5              // share of each wait that is random
 )
 
-// trimmer removes old outcomes of keyed calls; once.Keeper is one.
+// trimmer removes old outcomes of keyed calls; once.Deduplicator is one.
 type trimmer interface {
 	Trim(ctx context.Context, after string, limit int) (next string, removed int, err error)
 }
--- a/internal/node/metrics_calls.go
+++ b/internal/node/metrics_calls.go
@@ -92,10 +92,10 @@
 	p.counter("marlpass_once_unknowns_total", s.Unknowns)
 	p.counter("marlpass_once_joins_total", s.Joins)
 	p.counter("marlpass_once_refused_total", s.Refused)
-	p.counter("marlpass_once_guards_total", s.Guards)
+	p.counter("marlpass_once_guards_total", s.LocalGuards)
 	p.counter("marlpass_once_unstored_total", s.Unstored)
 	p.counter("marlpass_once_platform_writes_total", s.Writes)
-	p.gauge("marlpass_once_guards_held", float64(s.GuardsHeld))
+	p.gauge("marlpass_once_guards_held", float64(s.LocalKeys))
 }
 
 // writeRegistry tells which backend servers are beside this node.
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -90,7 +90,7 @@
 // callerServer returns a server for callers, who may send calls ahead.
 func (n *Node) callerServer(h http.Handler, log zerolog.Logger) *pipeline.Server {
 	return &pipeline.Server{
-		Handler: h, Ahead: n.calls.entry.MayRunAhead, Log: log, Limits: n.callerLimits,
+		Handler: h, CanPipeline: n.calls.entry.MayRunAhead, Log: log, Limits: n.callerLimits,
 	}
 }
 
@@ -196,7 +196,7 @@
 	var all sync.WaitGroup
 	for _, p := range s.callers {
 		all.Go(func() {
-			if err := p.GiveUp(ctx); err != nil {
+			if err := p.CancelRequests(ctx); err != nil {
 				s.n.log.Warn().Err(err).Msg("node: answers were still due when the time to send them was over")
 			}
 		})
--- a/internal/once/claim.go
+++ b/internal/once/claim.go
@@ -21,7 +21,7 @@
 
 // attempt is one request's way to a claim.
 type attempt struct {
-	k *Keeper
+	k *Deduplicator
 	f *flight
 	r Request
 	// nonce is in every row that this attempt writes.
@@ -35,7 +35,7 @@
 }
 
 // claim looks for the outcome of an earlier run, or claims the request.
-func (k *Keeper) claim(ctx context.Context, f *flight, r Request) (Begun, error) {
+func (k *Deduplicator) claim(ctx context.Context, f *flight, r Request) (Decision, error) {
 	a := &attempt{k: k, f: f, r: r, nonce: k.o.Nonce(), pause: minPause}
 	bounded, cancel := a.bound(ctx)
 	defer cancel()
@@ -65,7 +65,7 @@
 
 // bound limits the attempts for classes that would rather be refused than wait.
 func (a *attempt) bound(ctx context.Context) (context.Context, context.CancelFunc) {
-	if a.r.Rule == config.OnStoreDownWait {
+	if a.r.StoreDown == config.OnStoreDownWait {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, a.k.o.ClaimTimeout)
@@ -74,7 +74,7 @@
 // givesUp reports whether err ends the attempts: nothing can stand, and the
 // class does not wait.
 func (a *attempt) givesUp(err error) bool {
-	return notWritten(err) && !a.ambiguous && a.r.Rule != config.OnStoreDownWait
+	return notWritten(err) && !a.ambiguous && a.r.StoreDown != config.OnStoreDownWait
 }
 
 // notWritten reports whether err says for certain that nothing was written.
@@ -107,8 +107,8 @@
 	}
 }
 
-func (a *attempt) run(guard bool) Begun {
-	return Begun{Run: &Claim{k: a.k, f: a.f, r: a.r, row: a.row(), started: a.started, guard: guard}}
+func (a *attempt) run(guard bool) Decision {
+	return Decision{Run: &Claim{k: a.k, f: a.f, r: a.r, row: a.row(), started: a.started, guard: guard}}
 }
 
 // verdict is what a row that stands in the way of a claim means.
@@ -117,18 +117,18 @@
 const (
 	verdictWait  verdict = iota + 1 // another claimant runs it, or may
 	verdictAgain                    // the row is gone, so the claim may be tried again
-	verdictEnd                      // Begun or the error is the answer
+	verdictEnd                      // Decision or the error is the answer
 )
 
 // follow waits for the outcome of the row that stands in the way. Waiting for
 // another's outcome is bounded by the caller's deadline alone.
-func (a *attempt) follow(ctx, bounded context.Context) (Begun, verdict, error) {
+func (a *attempt) follow(ctx, bounded context.Context) (Decision, verdict, error) {
 	first := a.k.o.Now()
 	seen := false
 	for {
 		got, err := a.k.o.Table.Get(ctx, a.f.key)
 		if errors.Is(err, platform.ErrNotFound) {
-			return Begun{}, verdictAgain, nil
+			return Decision{}, verdictAgain, nil
 		}
 		if err == nil {
 			seen = true
@@ -141,49 +141,49 @@
 		// request may have run.
 		blind := !seen && bounded.Err() != nil
 		if ctx.Err() != nil || blind {
-			return Begun{Unknown: true}, verdictEnd, nil
+			return Decision{Unknown: true}, verdictEnd, nil
 		}
 		a.sleep(ctx)
 	}
 }
 
-func (a *attempt) judge(ctx context.Context, got platform.Row, first time.Time) (Begun, verdict, error) {
+func (a *attempt) judge(ctx context.Context, got platform.Row, first time.Time) (Decision, verdict, error) {
 	stands, err := decodeRow(got.Value)
 	if err != nil {
-		return Begun{Unknown: true}, verdictEnd, nil
+		return Decision{Unknown: true}, verdictEnd, nil
 	}
 	if stands.Fingerprint != a.r.Fingerprint {
-		return Begun{}, verdictEnd, refusal(call.ReasonKeyReused, "")
+		return Decision{}, verdictEnd, refusal(call.ReasonKeyReused, "")
 	}
 	if stands.Outcome != nil {
-		return Begun{Replay: stands.Outcome}, verdictEnd, nil
+		return Decision{Replay: stands.Outcome}, verdictEnd, nil
 	}
 	if stands.Nonce == a.nonce {
 		return a.run(false), verdictEnd, nil
 	}
 	if a.k.wasReleased(a.f.key, stands.Nonce) {
 		a.k.removeReleased(ctx, got)
-		return Begun{}, verdictAgain, nil
+		return Decision{}, verdictAgain, nil
 	}
 	now := a.k.o.Now()
 	lapsed := stands.Lost || now.Sub(stands.claimedAt()) > a.k.o.Lease || now.Sub(first) > a.k.o.Lease
 	if lapsed {
 		// The claimant died, or is paused, or could not store the outcome.
 		// It may have run the request, so no one else ever does.
-		return Begun{Unknown: true}, verdictEnd, nil
+		return Decision{Unknown: true}, verdictEnd, nil
 	}
-	return Begun{}, verdictWait, nil
+	return Decision{}, verdictWait, nil
 }
 
 // storeDown applies the class's rule when the claim could not be recorded.
-func (a *attempt) storeDown(ctx context.Context) (Begun, error) {
+func (a *attempt) storeDown(ctx context.Context) (Decision, error) {
 	if b, found, err := a.lastLook(ctx); found {
 		return b, err
 	}
 	if b, found, err := a.k.recent.find(a.f.key, a.r.Fingerprint); found {
 		return b, err
 	}
-	if a.r.Rule == config.OnStoreDownLocalGuard && ctx.Err() == nil && a.k.guard(a.f) {
+	if a.r.StoreDown == config.OnStoreDownLocalGuard && ctx.Err() == nil && a.k.guard(a.f) {
 		// If a row of this attempt stands after all, it keeps other nodes
 		// from running the request, which is what it is for.
 		return a.run(true), nil
@@ -192,9 +192,9 @@
 		a.k.release(a.f.key, a.nonce)
 	}
 	if err := ctx.Err(); err != nil && !errors.Is(context.Cause(ctx), errDeadline) {
-		return Begun{}, err
+		return Decision{}, err
 	}
-	return Begun{}, refusal(call.ReasonStoreDown, detailStoreDown)
+	return Decision{}, refusal(call.ReasonStoreDown, detailStoreDown)
 }
 
 // detailStoreDown says no more than is known: with the table out of reach, no
@@ -208,12 +208,12 @@
 // lastLook reads the row once more before the class's rule is applied. A table
 // that takes no writes may still be read, and then a repeat gets the first
 // outcome in place of a refusal or, under a guard, of a second run.
-func (a *attempt) lastLook(ctx context.Context) (Begun, bool, error) {
+func (a *attempt) lastLook(ctx context.Context) (Decision, bool, error) {
 	short, cancel := context.WithTimeout(ctx, lastLookTimeout)
 	defer cancel()
 	got, err := a.k.o.Table.Get(short, a.f.key)
 	if err != nil {
-		return Begun{}, false, nil
+		return Decision{}, false, nil
 	}
 	b, v, err := a.judge(short, got, a.k.o.Now())
 	switch v {
@@ -223,7 +223,7 @@
 		b, v, err = a.follow(ctx, ctx)
 		return b, v == verdictEnd, err
 	}
-	return Begun{}, false, nil
+	return Decision{}, false, nil
 }
 
 // sleep pauses for an even spread over half to one and a half of a pause that
@@ -247,7 +247,7 @@
 
 // Claim is the right to run one request, once.
 type Claim struct {
-	k       *Keeper
+	k       *Deduplicator
 	f       *flight
 	r       Request
 	row     row
--- a/internal/once/keeper.go
+++ b/internal/once/deduplicator.go
@@ -7,7 +7,7 @@
 // so those who send it again are told that the outcome is unknown. A claim is
 // given up only by its claimant, and only before the request ran.
 //
-//	(no row) --claim--> claimed --outcome--> done --Keep--> (no row)
+//	(no row) --claim--> claimed --outcome--> done --Retention--> (no row)
 //	             ^-------- given up, not run --'
 //
 // Claims and outcomes of one node are written in groups, one transaction at a
@@ -28,14 +28,14 @@
 // Defaults of Options.
 const (
 	DefaultLease        = 60 * time.Second
-	DefaultKeep         = 24 * time.Hour
+	DefaultRetention    = 24 * time.Hour
 	DefaultClaimTimeout = 2 * time.Second
 	DefaultLinger       = 100 * time.Millisecond
 	DefaultMaxBody      = 16 << 10
-	DefaultMaxGuards    = 8192
+	DefaultMaxLocalKeys = 8192
 )
 
-// Options are what a Keeper needs.
+// Options are what a Deduplicator needs.
 type Options struct {
 	Table  platform.Table
 	Holder string // VM ID of this node; shown to operators
@@ -45,8 +45,8 @@
 	// Lease is how long after its claim a request may still be started, and
 	// how long after it those who wait for the outcome are told "unknown".
 	Lease time.Duration
-	// Keep is how long an outcome is remembered.
-	Keep time.Duration
+	// Retention is how long an outcome is remembered.
+	Retention time.Duration
 	// ClaimTimeout bounds the attempts to claim under the rules refuse and
 	// local-guard.
 	ClaimTimeout time.Duration
@@ -55,8 +55,8 @@
 	Linger time.Duration
 	// MaxBody is the largest body that is stored, in bytes.
 	MaxBody int
-	// MaxGuards bounds the keys that are remembered at this node only.
-	MaxGuards int
+	// MaxLocalKeys bounds the keys that are remembered at this node only.
+	MaxLocalKeys int
 	// Nonce makes a nonce; 128 random bits when nil.
 	Nonce func() string
 }
@@ -69,11 +69,11 @@
 		o.Nonce = rand.Text
 	}
 	setDefault(&o.Lease, DefaultLease)
-	setDefault(&o.Keep, DefaultKeep)
+	setDefault(&o.Retention, DefaultRetention)
 	setDefault(&o.ClaimTimeout, DefaultClaimTimeout)
 	setDefault(&o.Linger, DefaultLinger)
 	setDefault(&o.MaxBody, DefaultMaxBody)
-	setDefault(&o.MaxGuards, DefaultMaxGuards)
+	setDefault(&o.MaxLocalKeys, DefaultMaxLocalKeys)
 	return o
 }
 
@@ -93,27 +93,27 @@
 	// Fingerprint is a hash of all that makes the request: method, path and
 	// body. The same key with another fingerprint is refused.
 	Fingerprint [32]byte
-	// Rule says what to do when the claim cannot be recorded.
-	Rule config.OnStoreDown
+	// StoreDown says what to do when the claim cannot be recorded.
+	StoreDown config.OnStoreDown
 	// Deadline bounds the waiting; zero means that only the context does.
 	Deadline time.Time
 }
 
-// Begun is what to do with a request. Exactly one of Run, Replay and Unknown is
+// Decision is what to do with a request. Exactly one of Run, Replay and Unknown is
 // set.
-type Begun struct {
+type Decision struct {
 	// Run says that this caller is to run the request, under the claim.
 	Run *Claim
 	// Replay is the first outcome, to be given again. It is shared and must
 	// not be changed.
-	Replay *Stored
+	Replay *StoredOutcome
 	// Unknown says that the request was claimed before and may have run, and
 	// that its outcome is not known. It must not be run.
 	Unknown bool
 }
 
-// Keeper claims requests for one node. It is safe for concurrent use.
-type Keeper struct {
+// Deduplicator claims requests for one node. It is safe for concurrent use.
+type Deduplicator struct {
 	o       Options
 	batcher *batcher
 	recent  recent
@@ -128,46 +128,46 @@
 	stats     Stats
 }
 
-// Stats counts what a Keeper did.
+// Stats counts what a Deduplicator did.
 type Stats struct {
-	Claims     uint64 // requests that were claimed to run
-	Replays    uint64
-	Unknowns   uint64
-	Joins      uint64 // repeats that waited for a run on this node
-	Refused    uint64
-	Guards     uint64 // requests that ran under a claim of this node only
-	Unstored   uint64 // outcomes that could not be stored
-	Writes     uint64 // transactions sent to the platform
-	GuardsHeld int
+	Claims      uint64 // requests that were claimed to run
+	Replays     uint64
+	Unknowns    uint64
+	Joins       uint64 // repeats that waited for a run on this node
+	Refused     uint64
+	LocalGuards uint64 // requests that ran under a claim of this node only
+	Unstored    uint64 // outcomes that could not be stored
+	Writes      uint64 // transactions sent to the platform
+	LocalKeys   int
 }
 
-// New returns a Keeper.
-func New(o Options) *Keeper {
+// New returns a Deduplicator.
+func New(o Options) *Deduplicator {
 	o = o.withDefaults()
-	k := &Keeper{
+	k := &Deduplicator{
 		o:        o,
 		flights:  make(map[string]*flight),
 		released: make(map[released]givenUp),
 	}
-	k.recent = newRecent(o.MaxGuards)
+	k.recent = newRecent(o.MaxLocalKeys)
 	k.batcher = newBatcher(o.Table, o.Linger)
 	return k
 }
 
 // Stats returns the counts so far.
-func (k *Keeper) Stats() Stats {
+func (k *Deduplicator) Stats() Stats {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.stats
 	s.Writes = k.batcher.writes.Load()
-	s.GuardsHeld = k.held
+	s.LocalKeys = k.held
 	return s
 }
 
 // Begin decides what to do with a request. The error is a *call.Refusal, which
 // means that this request was not run, or the context's error, which means the
 // same.
-func (k *Keeper) Begin(ctx context.Context, r Request) (Begun, error) {
+func (k *Deduplicator) Begin(ctx context.Context, r Request) (Decision, error) {
 	if !r.Deadline.IsZero() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadlineCause(ctx, r.Deadline, errDeadline)
@@ -187,7 +187,7 @@
 	return k.count(b, err)
 }
 
-func (k *Keeper) count(b Begun, err error) (Begun, error) {
+func (k *Deduplicator) count(b Decision, err error) (Decision, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
--- a/internal/once/keeper_test.go
+++ b/internal/once/deduplicator_test.go
@@ -16,11 +16,11 @@
 func request(rule config.OnStoreDown) Request {
 	return Request{
 		Service: "berths", Key: "a/b", Fingerprint: [32]byte{1},
-		Rule: rule, Deadline: time.Now().Add(5 * time.Second),
+		StoreDown: rule, Deadline: time.Now().Add(5 * time.Second),
 	}
 }
 
-func node(t *faulty, name string) *Keeper { return New(Options{Table: t, Holder: name}) }
+func node(t *faulty, name string) *Deduplicator { return New(Options{Table: t, Holder: name}) }
 
 func reasonOf(t *testing.T, err error) call.Reason {
 	t.Helper()
@@ -31,7 +31,7 @@
 	return r.Reason
 }
 
-func mustRun(t *testing.T, k *Keeper, r Request) *Claim {
+func mustRun(t *testing.T, k *Deduplicator, r Request) *Claim {
 	t.Helper()
 	b, err := k.Begin(background, r)
 	if err != nil || b.Run == nil {
@@ -40,7 +40,7 @@
 	return b.Run
 }
 
-func mustReplay(t *testing.T, k *Keeper, r Request, body string) {
+func mustReplay(t *testing.T, k *Deduplicator, r Request, body string) {
 	t.Helper()
 	b, err := k.Begin(background, r)
 	if err != nil || b.Replay == nil || string(b.Replay.Body) != body {
@@ -48,7 +48,7 @@
 	}
 }
 
-func mustUnknown(t *testing.T, k *Keeper, r Request) {
+func mustUnknown(t *testing.T, k *Deduplicator, r Request) {
 	t.Helper()
 	b, err := k.Begin(background, r)
 	if err != nil || !b.Unknown {
@@ -72,7 +72,7 @@
 		c := mustRun(t, node(table, "vm1"), request(""))
 		go func() {
 			time.Sleep(time.Second)
-			_ = c.Finish(background, Stored{Status: 201, Body: []byte("berth 7")})
+			_ = c.Finish(background, StoredOutcome{Status: 201, Body: []byte("berth 7")})
 		}()
 		mustReplay(t, node(table, "vm2"), request(""), "berth 7")
 	})
@@ -88,7 +88,7 @@
 			time.Sleep(time.Second)
 			ctx, cancel := context.WithTimeout(background, time.Second)
 			defer cancel()
-			_ = c.Finish(ctx, Stored{Status: 201, Body: []byte("berth 7")})
+			_ = c.Finish(ctx, StoredOutcome{Status: 201, Body: []byte("berth 7")})
 		}()
 		mustReplay(t, k, request(""), "berth 7")
 	})
@@ -102,7 +102,7 @@
 		mustRun(t, k, request(""))
 		other := request("")
 		other.Fingerprint = [32]byte{2}
-		for _, n := range []*Keeper{k, node(table, "vm2")} {
+		for _, n := range []*Deduplicator{k, node(table, "vm2")} {
 			_, err := n.Begin(background, other)
 			if got := reasonOf(t, err); got != call.ReasonKeyReused {
 				t.Errorf("refused as %q", got)
@@ -119,7 +119,7 @@
 			table.set(kind)
 			time.AfterFunc(100*time.Millisecond, func() { table.set(faultNone) })
 			c := mustRun(t, node(table, "vm1"), request(""))
-			if err := c.Finish(background, Stored{Status: 201, Body: []byte("once")}); err != nil {
+			if err := c.Finish(background, StoredOutcome{Status: 201, Body: []byte("once")}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(lateBy)
@@ -237,7 +237,7 @@
 		c := mustRun(t, k, request(config.OnStoreDownLocalGuard))
 		ctx, cancel := context.WithTimeout(background, time.Second)
 		defer cancel()
-		if err := c.Finish(ctx, Stored{Status: 201, Body: []byte("berth 7")}); err == nil {
+		if err := c.Finish(ctx, StoredOutcome{Status: 201, Body: []byte("berth 7")}); err == nil {
 			t.Fatal("Finish succeeded in an outage")
 		}
 		mustReplay(t, k, request(config.OnStoreDownLocalGuard), "berth 7")
@@ -247,7 +247,7 @@
 			t.Fatal(err)
 		}
 		mustReplay(t, node(table, "vm2"), request(""), "berth 7")
-		if got := k.Stats().GuardsHeld; got != 0 {
+		if got := k.Stats().LocalKeys; got != 0 {
 			t.Errorf("%d guards held after Flush", got)
 		}
 	})
@@ -260,7 +260,7 @@
 	bubble(t, func(t *testing.T, table *faulty) {
 		k := node(table, "vm1")
 		c := mustRun(t, k, request(config.OnStoreDownLocalGuard))
-		if err := c.Finish(background, Stored{Status: 201, Body: []byte("berth 7")}); err != nil {
+		if err := c.Finish(background, StoredOutcome{Status: 201, Body: []byte("berth 7")}); err != nil {
 			t.Fatal(err)
 		}
 		table.set(faultOutage)
@@ -274,7 +274,7 @@
 func TestGuardLooksBeforeItRuns(t *testing.T) {
 	bubble(t, func(t *testing.T, table *faulty) {
 		c := mustRun(t, node(table, "vm1"), request(""))
-		if err := c.Finish(background, Stored{Status: 201, Body: []byte("berth 7")}); err != nil {
+		if err := c.Finish(background, StoredOutcome{Status: 201, Body: []byte("berth 7")}); err != nil {
 			t.Fatal(err)
 		}
 		table.set(faultWritesOnly)
@@ -285,7 +285,7 @@
 func TestLargeBodyIsNotStored(t *testing.T) {
 	bubble(t, func(t *testing.T, table *faulty) {
 		c := mustRun(t, node(table, "vm1"), request(""))
-		if err := c.Finish(background, Stored{Status: 200, Body: make([]byte, DefaultMaxBody+1)}); err != nil {
+		if err := c.Finish(background, StoredOutcome{Status: 200, Body: make([]byte, DefaultMaxBody+1)}); err != nil {
 			t.Fatal(err)
 		}
 		b, err := node(table, "vm2").Begin(background, request(""))
@@ -303,7 +303,7 @@
 			r.Key = key
 			mustRun(t, k, r)
 			if key == "3" {
-				time.Sleep(DefaultKeep)
+				time.Sleep(DefaultRetention)
 			}
 		}
 		after, removed, steps := "", 0, 0
--- a/internal/once/finish.go
+++ b/internal/once/finish.go
@@ -13,7 +13,7 @@
 // once. It keeps trying until ctx ends; after that the outcome is remembered at
 // this node, and Flush tries again. Finish is meant to be called after the
 // answer went to the caller, with a context of its own.
-func (c *Claim) Finish(ctx context.Context, s Stored) error {
+func (c *Claim) Finish(ctx context.Context, s StoredOutcome) error {
 	if err := c.end(); err != nil {
 		return err
 	}
@@ -32,8 +32,8 @@
 }
 
 // ended forgets the flight of a run that the table knows of.
-func (c *Claim) ended(s *Stored) {
-	if c.r.Rule == config.OnStoreDownLocalGuard {
+func (c *Claim) ended(s *StoredOutcome) {
+	if c.r.StoreDown == config.OnStoreDownLocalGuard {
 		c.k.recent.add(c.f.key, c.r.Fingerprint, s)
 	}
 	c.k.leave(c.f)
@@ -82,7 +82,7 @@
 // writes to it until it has an outcome, and writing the same outcome twice is
 // harmless, so a write whose answer was lost is simply sent again. A guard has
 // no row of its own for certain and must not replace another's.
-func (k *Keeper) store(ctx context.Context, key string, u *unsavedOutcome, guard bool) error {
+func (k *Deduplicator) store(ctx context.Context, key string, u *unsavedOutcome, guard bool) error {
 	value, err := u.row.encode()
 	if err != nil {
 		return err
@@ -120,7 +120,7 @@
 // lost.
 var errStored = errors.New("once: the outcome is stored")
 
-func (k *Keeper) guardCondition(ctx context.Context, key, nonce string) (*platform.Condition, error) {
+func (k *Deduplicator) guardCondition(ctx context.Context, key, nonce string) (*platform.Condition, error) {
 	got, err := k.o.Table.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
 		return &platform.Condition{Key: key, Revision: platform.Absent}, nil
@@ -140,7 +140,7 @@
 
 const (
 	// maxKeptBody is the largest body that a guard remembers, so that
-	// MaxGuards outcomes fit its memory.
+	// MaxLocalKeys outcomes fit its memory.
 	maxKeptBody = 1 << 10
 	// maxKeptBytes bounds the bodies of other outcomes that wait to be stored.
 	maxKeptBytes = 8 << 20
@@ -151,7 +151,7 @@
 // the claim row. A guard always has room, because it took it before the run,
 // but loses a large body. The body of another outcome is kept whole: a write of
 // it may still be under way, and the row must not end up with either of two.
-func (k *Keeper) remember(f *flight, u *unsavedOutcome, guard bool) {
+func (k *Deduplicator) remember(f *flight, u *unsavedOutcome, guard bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.stats.Unstored++
@@ -160,7 +160,7 @@
 	case guard && size > maxKeptBody:
 		u.row.Outcome = withinMemory(u.row.Outcome)
 		f.outcome = u.row.Outcome
-	case !guard && (k.held >= k.o.MaxGuards || k.heldBytes+size > maxKeptBytes):
+	case !guard && (k.held >= k.o.MaxLocalKeys || k.heldBytes+size > maxKeptBytes):
 		k.recent.add(f.key, f.fingerprint, nil)
 		k.drop(f)
 		return
@@ -173,29 +173,29 @@
 }
 
 // guard takes room to remember f at this node only.
-func (k *Keeper) guard(f *flight) bool {
+func (k *Deduplicator) guard(f *flight) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.held >= k.o.MaxGuards {
+	if k.held >= k.o.MaxLocalKeys {
 		return false
 	}
 	k.keep(f)
-	k.stats.Guards++
+	k.stats.LocalGuards++
 	return true
 }
 
 // keep marks f as remembered. k.mu is held.
-func (k *Keeper) keep(f *flight) {
+func (k *Deduplicator) keep(f *flight) {
 	if !f.kept {
 		f.kept = true
 		k.held++
 	}
 }
 
-func (k *Keeper) release(key, nonce string) {
+func (k *Deduplicator) release(key, nonce string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.released) >= k.o.MaxGuards {
+	if len(k.released) >= k.o.MaxLocalKeys {
 		// Dropping one costs its caller an "unknown" in place of a run.
 		for other := range k.released {
 			delete(k.released, other)
@@ -213,7 +213,7 @@
 // givenUp is when a claim was given up and when its row is looked for next.
 type givenUp struct{ since, next time.Time }
 
-func (k *Keeper) wasReleased(key, nonce string) bool {
+func (k *Deduplicator) wasReleased(key, nonce string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	_, ok := k.released[released{key, nonce}]
@@ -221,7 +221,7 @@
 }
 
 // unclaim removes the row of a claim that was given up, if it stands.
-func (k *Keeper) unclaim(ctx context.Context, key, nonce string) error {
+func (k *Deduplicator) unclaim(ctx context.Context, key, nonce string) error {
 	got, err := k.o.Table.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
 		// The row may yet appear if its write is under way, or this read
@@ -247,7 +247,7 @@
 	return k.removeReleased(ctx, got)
 }
 
-func (k *Keeper) removeReleased(ctx context.Context, got platform.Row) error {
+func (k *Deduplicator) removeReleased(ctx context.Context, got platform.Row) error {
 	return k.batcher.do(ctx, &item{
 		condition: &platform.Condition{Key: got.Key, Revision: got.Revision},
 		write:     platform.Write{Key: got.Key, Delete: true},
@@ -255,7 +255,7 @@
 	})
 }
 
-func (k *Keeper) forgetReleased(key, nonce string) {
+func (k *Deduplicator) forgetReleased(key, nonce string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.released, released{key, nonce})
--- a/internal/once/flight.go
+++ b/internal/once/flight.go
@@ -21,13 +21,13 @@
 	done chan struct{}
 	// outcome is set before done is closed; nil means that those who joined
 	// must look again.
-	outcome *Stored
+	outcome *StoredOutcome
 	lost    bool // the outcome never will be known
 	// kept says that the outcome, or the fact of the run, is remembered here
 	// because the platform does not have it. unsaved is what it should have.
 	kept    bool
 	unsaved *unsavedOutcome
-	bytes   int // counted in Keeper.heldBytes
+	bytes   int // counted in Deduplicator.heldBytes
 }
 
 // unsavedOutcome is an outcome that could not be stored yet.
@@ -37,7 +37,7 @@
 }
 
 // enter returns the flight of the key and whether the caller is its first.
-func (k *Keeper) enter(key string, r Request) (*flight, bool) {
+func (k *Deduplicator) enter(key string, r Request) (*flight, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if f := k.flights[key]; f != nil {
@@ -49,14 +49,14 @@
 }
 
 // leave forgets a flight that ended without an outcome at this node.
-func (k *Keeper) leave(f *flight) {
+func (k *Deduplicator) leave(f *flight) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.drop(f)
 }
 
 // drop forgets a flight. k.mu is held.
-func (k *Keeper) drop(f *flight) {
+func (k *Deduplicator) drop(f *flight) {
 	if k.flights[f.key] != f {
 		return
 	}
@@ -70,7 +70,7 @@
 
 // settle gives the outcome, or that there is none to be known, to those who
 // joined.
-func (k *Keeper) settle(f *flight, s *Stored, lost bool) {
+func (k *Deduplicator) settle(f *flight, s *StoredOutcome, lost bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	f.outcome, f.lost = s, lost
@@ -86,9 +86,9 @@
 }
 
 // join waits for the outcome of a run on this node.
-func (k *Keeper) join(ctx context.Context, f *flight, r Request) (Begun, error) {
+func (k *Deduplicator) join(ctx context.Context, f *flight, r Request) (Decision, error) {
 	if f.fingerprint != r.Fingerprint {
-		return k.count(Begun{}, refusal(call.ReasonKeyReused, ""))
+		return k.count(Decision{}, refusal(call.ReasonKeyReused, ""))
 	}
 	k.mu.Lock()
 	k.stats.Joins++
@@ -96,16 +96,16 @@
 	select {
 	case <-f.done:
 	case <-ctx.Done():
-		return k.count(Begun{Unknown: true}, nil)
+		return k.count(Decision{Unknown: true}, nil)
 	}
 	s, lost := k.outcome(f)
 	if s != nil || lost {
-		return k.count(Begun{Replay: s, Unknown: lost}, nil)
+		return k.count(Decision{Replay: s, Unknown: lost}, nil)
 	}
 	return k.Begin(ctx, r)
 }
 
-func (k *Keeper) outcome(f *flight) (s *Stored, lost bool) {
+func (k *Deduplicator) outcome(f *flight) (s *StoredOutcome, lost bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return f.outcome, f.lost
--- a/internal/once/group_test.go
+++ b/internal/once/group_test.go
@@ -40,7 +40,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := newFaulty()
 		table.latency = platformLatency
-		var keepers []*Keeper
+		var keepers []*Deduplicator
 		for i := range nodes {
 			k := New(Options{Table: table, Holder: fmt.Sprint(i)})
 			k.batcher.linger = linger
@@ -67,7 +67,7 @@
 				sum += took
 				mu.Unlock()
 				time.Sleep(50 * time.Millisecond)
-				if err := c.Finish(background, Stored{Status: 201}); err != nil {
+				if err := c.Finish(background, StoredOutcome{Status: 201}); err != nil {
 					t.Error(err)
 				}
 			})
--- a/internal/once/property_test.go
+++ b/internal/once/property_test.go
@@ -76,7 +76,7 @@
 // world runs a plan on three nodes and notes what breaks a promise.
 type world struct {
 	table *faulty
-	nodes []*Keeper
+	nodes []*Deduplicator
 	guard bool // all sendings under the local guard
 
 	mu       sync.Mutex
@@ -104,7 +104,7 @@
 	}
 	r := Request{
 		Service: "submit", Key: fmt.Sprint(s.Key), Fingerprint: [32]byte{s.Body + 1},
-		Rule: rule, Deadline: time.Now().Add(s.Deadline),
+		StoreDown: rule, Deadline: time.Now().Add(s.Deadline),
 	}
 	b, err := w.nodes[s.Node%len(w.nodes)].Begin(context.Background(), r)
 	var refused *call.Refusal
@@ -149,10 +149,10 @@
 		_ = c.Lost(ctx)
 		return
 	}
-	_ = c.Finish(ctx, Stored{Status: 200, Body: []byte(answer)})
+	_ = c.Finish(ctx, StoredOutcome{Status: 200, Body: []byte(answer)})
 }
 
-func (w *world) replay(s sending, got *Stored) {
+func (w *world) replay(s sending, got *StoredOutcome) {
 	w.mu.Lock()
 	want, body := w.answers[s.Key], w.body[s.Key]
 	w.mu.Unlock()
--- a/internal/once/recent.go
+++ b/internal/once/recent.go
@@ -18,37 +18,37 @@
 // recentRun is a run that ended. A nil outcome means that it is not known.
 type recentRun struct {
 	fingerprint [32]byte
-	outcome     *Stored
+	outcome     *StoredOutcome
 }
 
 func newRecent(size int) recent {
 	c, err := lru.New[string, recentRun](size)
 	if err != nil {
-		panic("once: MaxGuards must be positive")
+		panic("once: MaxLocalKeys must be positive")
 	}
 	return recent{c}
 }
 
-func (m recent) add(key string, fingerprint [32]byte, s *Stored) {
+func (m recent) add(key string, fingerprint [32]byte, s *StoredOutcome) {
 	m.runs.Add(key, recentRun{fingerprint: fingerprint, outcome: withinMemory(s)})
 }
 
 // find returns what to answer to a resend, and whether the key is known.
-func (m recent) find(key string, fingerprint [32]byte) (b Begun, found bool, err error) {
+func (m recent) find(key string, fingerprint [32]byte) (b Decision, found bool, err error) {
 	run, found := m.runs.Get(key)
 	switch {
 	case !found:
-		return Begun{}, false, nil
+		return Decision{}, false, nil
 	case run.fingerprint != fingerprint:
-		return Begun{}, true, refusal(call.ReasonKeyReused, "")
+		return Decision{}, true, refusal(call.ReasonKeyReused, "")
 	}
-	return Begun{Replay: run.outcome, Unknown: run.outcome == nil}, true, nil
+	return Decision{Replay: run.outcome, Unknown: run.outcome == nil}, true, nil
 }
 
 // withinMemory drops a body that is too large to be remembered at a node.
-func withinMemory(s *Stored) *Stored {
+func withinMemory(s *StoredOutcome) *StoredOutcome {
 	if s == nil || len(s.Body) <= maxKeptBody {
 		return s
 	}
-	return &Stored{Status: s.Status, Header: s.Header, Truncated: true}
+	return &StoredOutcome{Status: s.Status, Header: s.Header, Truncated: true}
 }
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -12,8 +12,8 @@
 	"github.com/marlpass/marlpass/internal/platform"
 )
 
-// Stored is the outcome of a request as it is kept for those who send it again.
-type Stored struct {
+// StoredOutcome is the outcome of a request, kept for its resends.
+type StoredOutcome struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
@@ -33,8 +33,8 @@
 	// ClaimedAt is by the claimant's clock, in Unix milliseconds. Only the
 	// time until a repeat is told "unknown" and the expiry depend on it, and
 	// never whether a request runs.
-	ClaimedAt int64   `json:"claimed_at"`
-	Outcome   *Stored `json:"outcome,omitempty"`
+	ClaimedAt int64          `json:"claimed_at"`
+	Outcome   *StoredOutcome `json:"outcome,omitempty"`
 	// Lost says that the claimant knows that the outcome never will be known,
 	// so that no one need wait for it.
 	Lost bool `json:"lost,omitempty"`
--- a/internal/once/record_test.go
+++ b/internal/once/record_test.go
@@ -41,7 +41,7 @@
 			go func() {
 				b, err := k.Begin(background, r)
 				if err == nil {
-					err = b.Run.Finish(background, Stored{Status: 201})
+					err = b.Run.Finish(background, StoredOutcome{Status: 201})
 				}
 				errs <- err
 			}()
--- a/internal/once/upkeep.go
+++ b/internal/once/upkeep.go
@@ -23,7 +23,7 @@
 
 // Flush tries again to store the outcomes that the platform does not have and
 // to remove the claims that were given up. Call it every few seconds.
-func (k *Keeper) Flush(ctx context.Context) error {
+func (k *Deduplicator) Flush(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, flushBound)
 	defer cancel()
 	err := errors.Join(k.flushOutcomes(ctx), k.flushReleased(ctx))
@@ -36,7 +36,7 @@
 // It guards against second runs after an outage. What this node alone remembers
 // dies with its VM; stored one after another, each waiting for others to share
 // its transaction, most of it would be lost in a planned stop.
-func (k *Keeper) flushOutcomes(ctx context.Context) error {
+func (k *Deduplicator) flushOutcomes(ctx context.Context) error {
 	var g errgroup.Group
 	g.SetLimit(maxBatchRows)
 	for f, u := range k.unsavedFlights() {
@@ -48,7 +48,7 @@
 	return g.Wait()
 }
 
-func (k *Keeper) flushOutcome(ctx context.Context, f *flight, u *unsavedOutcome) error {
+func (k *Deduplicator) flushOutcome(ctx context.Context, f *flight, u *unsavedOutcome) error {
 	err := k.store(ctx, f.key, u, true)
 	if err == nil || errors.Is(err, errTaken) {
 		k.recent.add(f.key, f.fingerprint, u.row.Outcome)
@@ -57,7 +57,7 @@
 	return err
 }
 
-func (k *Keeper) flushReleased(ctx context.Context) error {
+func (k *Deduplicator) flushReleased(ctx context.Context) error {
 	var errs []error
 	now := k.o.Now()
 	for r, times := range k.releasedClaims() {
@@ -79,7 +79,7 @@
 // looked notes that no row of a given-up claim stands now. The next look comes
 // after as long again: looking at every Flush, the nodes of the mesh would read
 // the claims of one outage more often than the platform can answer.
-func (k *Keeper) looked(now time.Time, r released) {
+func (k *Deduplicator) looked(now time.Time, r released) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	times, ok := k.released[r]
@@ -95,7 +95,7 @@
 	k.released[r] = times
 }
 
-func (k *Keeper) unsavedFlights() map[*flight]*unsavedOutcome {
+func (k *Deduplicator) unsavedFlights() map[*flight]*unsavedOutcome {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	out := make(map[*flight]*unsavedOutcome)
@@ -107,29 +107,29 @@
 	return out
 }
 
-func (k *Keeper) releasedClaims() map[released]givenUp {
+func (k *Deduplicator) releasedClaims() map[released]givenUp {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return maps.Clone(k.released)
 }
 
-// dropOld forgets what is older than Keep.
-func (k *Keeper) dropOld() {
+// dropOld forgets what is older than Retention.
+func (k *Deduplicator) dropOld() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.o.Now()
 	for _, f := range k.flights {
-		if f.kept && now.Sub(f.since) > k.o.Keep {
+		if f.kept && now.Sub(f.since) > k.o.Retention {
 			k.drop(f)
 		}
 	}
 }
 
-// Trim removes up to limit rows older than Keep that follow after in key order,
+// Trim removes up to limit rows older than Retention that follow after in key order,
 // in one scan and at most two transactions. It returns where to go on, which is
 // empty at the end of the table. One node at a time should call it, at a slow
 // pace; two that do only meet conflicts.
-func (k *Keeper) Trim(ctx context.Context, after string, limit int) (next string, removed int, err error) {
+func (k *Deduplicator) Trim(ctx context.Context, after string, limit int) (next string, removed int, err error) {
 	rows, err := k.o.Table.Scan(ctx, platform.OncePrefix, after, limit)
 	if err != nil {
 		return after, 0, err
@@ -156,12 +156,12 @@
 	return next, len(old), nil
 }
 
-func (k *Keeper) expired(rows []platform.Row) []platform.Row {
+func (k *Deduplicator) expired(rows []platform.Row) []platform.Row {
 	now := k.o.Now()
 	var old []platform.Row
 	for _, r := range rows {
 		v, err := decodeRow(r.Value)
-		if err == nil && now.Sub(v.claimedAt()) > k.o.Keep {
+		if err == nil && now.Sub(v.claimedAt()) > k.o.Retention {
 			old = append(old, r)
 		}
 	}
--- a/internal/once/upkeep_test.go
+++ b/internal/once/upkeep_test.go
@@ -27,7 +27,7 @@
 		ended, cancel := context.WithCancel(background)
 		cancel()
 		for i := range bookings {
-			if err := mustRun(t, k, keyed(i)).Finish(ended, Stored{Status: 201, Body: []byte("berth")}); err == nil {
+			if err := mustRun(t, k, keyed(i)).Finish(ended, StoredOutcome{Status: 201, Body: []byte("berth")}); err == nil {
 				t.Fatal("stored in an outage")
 			}
 		}
@@ -59,7 +59,7 @@
 		c := mustRun(t, k, request(config.OnStoreDownLocalGuard))
 		ended, cancel := context.WithCancel(background)
 		cancel()
-		_ = c.Finish(ended, Stored{Status: 201})
+		_ = c.Finish(ended, StoredOutcome{Status: 201})
 		watchdog, stop := context.WithTimeout(background, time.Hour)
 		defer stop()
 		if err := k.Flush(watchdog); err == nil || watchdog.Err() != nil {
--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -237,7 +237,7 @@
 // read. It reports false when none may.
 func (c *conn) dispatch(r *http.Request) bool {
 	e := newExchange(c, r)
-	if !c.enqueue(e, c.s.Ahead != nil && e.bodyless() && c.s.Ahead(r)) {
+	if !c.enqueue(e, c.s.CanPipeline != nil && e.bodyless() && c.s.CanPipeline(r)) {
 		return false
 	}
 	go e.run()
@@ -287,7 +287,7 @@
 	defer func() { c.reading = false }()
 	most := 1
 	if ahead {
-		most = DefaultAhead
+		most = MaxPipelined
 	}
 	for len(c.due) >= most && !c.gone {
 		c.room.Wait()
--- a/internal/pipeline/exchange.go
+++ b/internal/pipeline/exchange.go
@@ -130,7 +130,7 @@
 // held, up to a bound.
 func (e *exchange) Write(p []byte) (int, error) {
 	e.WriteHeader(http.StatusOK)
-	if !e.sent && e.held.Len()+len(p) <= DefaultHeld && !e.hasTurn() {
+	if !e.sent && e.held.Len()+len(p) <= MaxBufferedResponse && !e.hasTurn() {
 		return e.held.Write(p)
 	}
 	if !e.await() {
--- a/internal/pipeline/server.go
+++ b/internal/pipeline/server.go
@@ -16,10 +16,10 @@
 
 // Defaults of a Server's bounds.
 const (
-	// DefaultAhead is how many requests of one connection are handled at once.
-	DefaultAhead = 32
-	// DefaultHeld is how many bytes of an answer are held back until its turn.
-	DefaultHeld = 64 << 10
+	// MaxPipelined is how many requests of one connection are handled at once.
+	MaxPipelined = 32
+	// MaxBufferedResponse is how many bytes of an answer are held back until its turn.
+	MaxBufferedResponse = 64 << 10
 	// pollEvery is how often Shutdown looks whether connections became idle.
 	pollEvery = 10 * time.Millisecond
 )
@@ -36,10 +36,10 @@
 	Handler http.Handler
 	// Limits is asked for each request.
 	Limits func() Limits
-	// Ahead reports whether a request may be handled while earlier ones are
+	// CanPipeline reports whether a request may be handled while earlier ones are
 	// not answered yet; nil means that none may.
-	Ahead func(*http.Request) bool
-	Log   zerolog.Logger
+	CanPipeline func(*http.Request) bool
+	Log         zerolog.Logger
 
 	mu    sync.Mutex // guards the rest
 	conns map[*conn]struct{}
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// GiveUp cancels the requests that are still handled, and returns when every answer
+// CancelRequests cancels the requests that are still handled, and returns when every answer
 // that is due was sent, or with ctx's error. It is for a planned stop that takes too
 // long, after Shutdown and before Close.
 //
@@ -149,7 +149,7 @@
 // sends ahead, an answer that is ready waits for the ones before it; closed at the
 // limit of the stop, the connection would lose it as well. Cancelled, the requests
 // before it are answered as failed, and it follows.
-func (s *Server) GiveUp(ctx context.Context) error {
+func (s *Server) CancelRequests(ctx context.Context) error {
 	s.mu.Lock()
 	for c := range s.conns {
 		c.stopWork()
--- a/internal/pipeline/server_test.go
+++ b/internal/pipeline/server_test.go
@@ -29,7 +29,7 @@
 		}
 	}
 	s.Log = zerolog.Nop()
-	s.Ahead = func(r *http.Request) bool { return r.Method == http.MethodGet }
+	s.CanPipeline = func(r *http.Request) bool { return r.Method == http.MethodGet }
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(ln) }()
 	t.Cleanup(func() {
--- a/internal/pipeline/stop_test.go
+++ b/internal/pipeline/stop_test.go
@@ -33,7 +33,7 @@
 		t.Fatal("the stop took the report for answered")
 	}
 	gaveUp := make(chan error, 1)
-	go func() { gaveUp <- s.GiveUp(context.Background()) }()
+	go func() { gaveUp <- s.CancelRequests(context.Background()) }()
 	for _, want := range []string{"502 ", "200 found close"} {
 		if got := answer(t, r); got != want {
 			t.Errorf("got %q, want %q", got, want)
