--- a/internal/limit/admit.go
+++ b/internal/limit/admit.go
@@ -39,7 +39,7 @@
 		return nil
 	}
 	if victim := q.overdueVictim(); victim != nil {
-		q.refuseWaiting(now, victim, q.overloadReason(victim.class), "gave way to a call that can meet its latency target")
+		q.refuseWaiting(now, victim, q.overloadReason(victim.class), "gave way to a call that can be in time")
 		return nil
 	}
 	victim := q.victimFor(e)
@@ -77,7 +77,7 @@
 		return nil
 	}
 	if victim := q.overdueVictim(); victim != nil {
-		q.refuseWaiting(now, victim, q.overloadReason(victim.class), "gave way to a call that its caller does not retry")
+		q.refuseWaiting(now, victim, q.overloadReason(victim.class), "gave way to a call that is not sent again")
 		return nil
 	}
 	return q.refuse(now, c, q.overloadReason(c), "the queue is full")
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -326,7 +326,7 @@
 type certifiedVMKey struct{}
 
 // errTooLarge means that a response was over MaxResponseBytes.
-var errTooLarge = errors.New("peer: the response is too large")
+var errTooLarge = errors.New("peer: the answer is too large")
 
 // verifyingTransport bounds the responses of the transport below it and
 // reports the VM that their certificates name.
