--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -16,24 +16,23 @@
 
 // Errors of an attempt that may have run.
 var (
-	// errWaited means that no answer began within the bound.
+	// errAnswerTimeout means that the answer did not begin within the timeout.
 	errAnswerTimeout = errors.New("proxy: no answer within the bound")
-	// errStalled means that an answer stopped in its middle.
-	errStalled = errors.New("proxy: the answer stopped")
+	// errStalled means that no part of the answer's body arrived within the stall timeout.
+	errStalled = errors.New("proxy: the answer stalled")
 )
 
-// attempt is one request to one address. It lives from send until its answer
-// is closed, or until send fails, and is used again after that: the transport
-// keeps no more of it than the trace, whose fields never change.
+// attempt is one request to one address. It is in use from send until its answer is closed or send
+// fails, and is then pooled. The transport may keep a reference to trace, whose fields never change.
 type attempt struct {
 	trace httptrace.ClientTrace
 	timer *time.Timer
-	// answer is the body of the answer, once it has begun.
+	// answer is the body of the answer once that has begun.
 	answer answerBody
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	up         *upstream
-	body       *streamBody // nil when the body does not stream
+	body       *streamBody // nil if the body is buffered
 	conn       *conn
 	generation uint64
 	replay     bool
@@ -50,21 +49,21 @@
 	return a
 }}
 
-// newAttempt returns an attempt whose answer must begin within wait.
-func newAttempt(up *upstream, b *streamBody, wait time.Duration) *attempt {
+// newAttempt returns an attempt whose answer must begin within timeout.
+func newAttempt(up *upstream, b *streamBody, timeout time.Duration) *attempt {
 	a := attempts.Get().(*attempt)
 	a.mu.Lock()
 	a.up, a.body = up, b
 	a.conn, a.generation = nil, 0
 	a.replay, a.timedOut, a.finished = false, false, false
-	// Or finish would take the timer for stopped after expire has begun.
+	// A stale true would make finish pool the attempt while expire still runs.
 	a.answer.timerStopped = false
 	a.mu.Unlock()
-	a.timer.Reset(wait)
+	a.timer.Reset(timeout)
 	return a
 }
 
-// finish ends the attempt. It must be called once, and a not be used after.
+// finish ends the attempt. It must be called once; a must not be used afterwards.
 func (a *attempt) finish() {
 	stopped := a.timer.Stop()
 	a.mu.Lock()
@@ -75,51 +74,47 @@
 	if stopped {
 		attempts.Put(a)
 	}
-	// Otherwise expire runs at this moment, and must not meet a later call.
+	// Otherwise expire is running, and must not act on a later call: a isn't pooled.
 }
 
 // gotConn is called by the transport with the connection that it chose, before
 // it writes.
 //
-// It guards against the transport's own replay. When a reused connection
-// breaks before the answer begins, net/http sends a request without a body
-// again on another connection if its method is GET, HEAD, OPTIONS or TRACE,
-// and any bodyless request that has an Idempotency-Key header: exactly the
-// bookings that must run at most once. The caller would see one answer and the
-// backend server would have run two. A request is therefore let onto a second
-// connection only if the first is proved to have carried nothing; otherwise
-// the second one is barred before the transport writes to it, and the attempt
-// ends as one that may have run.
+// It prevents the transport's own replay. When a reused connection breaks before the answer begins,
+// net/http resends a request without a body on another connection if its method is GET, HEAD,
+// OPTIONS or TRACE, or if it has an Idempotency-Key header: exactly the calls that must run at most
+// once. The backend server would run the request twice. A request may therefore use a second
+// connection only if nothing was written to the first; otherwise writes to the second one are
+// blocked before the transport begins, and the attempt ends as one that may have run.
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*conn)
 	if !ok {
-		panic("proxy: a connection that the upstream did not open")
+		panic("proxy: the connection was not opened by this upstream")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	ticket := c.assign(a.body)
+	generation := c.assign(a.body)
 	if a.conn != nil && !a.conn.blockWrites(a.generation) {
 		a.replay = true
 		c.replay.Store(true)
-		c.blockWrites(ticket)
+		c.blockWrites(generation)
 		return
 	}
-	a.conn, a.generation = c, ticket
+	a.conn, a.generation = c, generation
 	if a.timedOut {
-		c.closeFor(ticket)
+		c.closeFor(generation)
 	}
 }
 
-// barConn reports whether no byte of the attempt was written or ever will be.
+// blockWrites reports whether no byte of the attempt was written, and if so prevents later writes.
 func (a *attempt) blockWrites() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return !a.replay && (a.conn == nil || a.conn.blockWrites(a.generation))
 }
 
-// expire ends the attempt when its bound has passed: it closes the connection,
-// which ends whatever waits for it. An attempt that has no connection yet is
-// ended by the bound on dialling.
+// expire ends the attempt when its timeout has passed by closing its connection. An attempt without
+// a connection is ended by the dial deadline.
 func (a *attempt) expire() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,19 +128,19 @@
 	a.up.closeIdle()
 }
 
-// deadlineSkew is how much earlier than at this node a call may end at the node before. Each
-// node counts the deadline from the moment it reads the call, so the one before is ahead by
-// the way between two regions, or by a wait for the processor of a busy VM.
+// deadlineSkew is how much earlier a call's deadline may pass at the previous node. Each node counts
+// the deadline from when it reads the call, so the previous node is ahead by the latency between
+// two regions, or by a scheduling delay on a busy VM.
 const deadlineSkew = 100 * time.Millisecond
 
-// givenUp is called when the node before, or the caller, has given the call up. Where it did
-// so about when the bound would have passed here, the bound counts as passed: the idle
-// connections to the same address are closed.
+// cancelled is called when the previous node or the caller cancelled the call. If that happened
+// within deadlineSkew of the timeout here, it counts as a timeout: the idle connections to the same
+// address are closed.
 //
-// Without it a backend server whose connections were forgotten keeps the other ones in its
-// pool whenever the entry node gives up first, and each next call waits out a whole deadline.
-func (a *attempt) cancelled(bound time.Time) {
-	if time.Until(bound) > deadlineSkew {
+// Otherwise, when connections to a backend server went silent and the entry node always times out
+// first, the other idle connections stay in the pool and every later call waits until its deadline.
+func (a *attempt) cancelled(timeout time.Time) {
+	if time.Until(timeout) > deadlineSkew {
 		return
 	}
 	a.mu.Lock()
@@ -153,8 +148,8 @@
 	a.up.closeIdle()
 }
 
-// kill closes the connection of an attempt whose answer has begun, so that no
-// later call reads what is still on its way there.
+// closeConn closes the connection of an attempt whose answer has begun, so that no later call reads
+// the rest of that answer.
 func (a *attempt) closeConn() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -163,52 +158,51 @@
 	}
 }
 
-// expired reports whether a bound ended the attempt.
+// expired reports whether a timeout ended the attempt.
 func (a *attempt) expired() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.timedOut
 }
 
-// outbound is a request to be sent on.
+// outbound is a request to be forwarded.
 type outbound struct {
-	in            *http.Request // gives method, URL and the rest
+	in            *http.Request // source of the method, URL and other fields
 	header        http.Header
 	body          *body
 	addr          string
-	vm            string        // the node at addr, or empty for a backend server
-	answerTimeout time.Duration // bound on the answer's beginning
-	stallTimeout  time.Duration // bound between two parts of the answer
+	vm            string        // VM of the node at addr; empty for a backend server
+	answerTimeout time.Duration // until the answer begins
+	stallTimeout  time.Duration // between two parts of the answer
 	extra         AttemptHeaders
 }
 
-// sending is what the transport is given of one attempt, and may read for as
-// long as it likes. It is one allocation, and not used again.
+// transportRequest holds the parts of one attempt that the transport may read at any later time. It
+// is a single allocation and is never reused.
 type transportRequest struct {
 	attemptContext
 	url    url.URL
 	values [len(outbound{}.extra)][1]string
 }
 
-// answer is what became of an attempt. Exactly one of resp, refusal and err is
-// set.
+// answer is the result of an attempt. Exactly one of resp, refusal and err is set.
 type answer struct {
 	resp    *http.Response
-	refusal *call.Refusal // it was not run
-	err     error         // it may have run
-	// expired says that the attempt ended because its bound passed.
+	refusal *call.Refusal // the attempt was not run
+	err     error         // the attempt may have run
+	// expired is set if the attempt timed out.
 	expired bool
 	load    Load
-	// linkWait is how long large answers wait for the destination's link.
+	// linkWait is how long large answers wait for the link of the destination's VM.
 	linkWait time.Duration
-	// took is what the time at the destination went into.
+	// took is the time spent at the destination, by part.
 	took took
-	// held is what the call holds at this node until its answer has been
-	// passed on; nil when another node ran it.
+	// held are the resources that the call holds at this node until its answer has been
+	// relayed; nil if another node ran it.
 	held *holding
 }
 
-// kill ends an answer that must not be passed on, and its connection.
+// abort closes an answer that must not be relayed, and its connection.
 func (a *answer) abort() {
 	if b, ok := a.resp.Body.(*answerBody); ok {
 		b.attempt.closeConn()
@@ -216,7 +210,7 @@
 	a.resp.Body.Close()
 }
 
-// outcome returns what is known of the attempt.
+// outcome returns whether the attempt ran, did not run, or may have run.
 func (a *answer) outcome() call.Outcome {
 	switch {
 	case a.refusal != nil:
@@ -227,23 +221,21 @@
 	return call.Unknown
 }
 
-// reached reports whether a backend server got the attempt, or may have.
+// reached reports whether a backend server received or may have received the attempt.
 func (a *answer) reached() bool {
 	return a.refusal == nil || a.refusal.Reason == call.ReasonBackend
 }
 
-// broke reports whether the connection broke under the attempt, here or at the
-// destination, as it does when a backend server crashes.
+// connBroke reports whether the connection broke during the attempt, here or at the destination, as
+// it does when a backend server crashes.
 //
-// An attempt that waited in vain, or whose caller left, says nothing of that
-// kind. Taking it for a crash would hold back innocent requests at their entry
-// node whenever connections go silent or callers are impatient.
+// Timeouts and cancellations don't count. Taking them for crashes would quarantine harmless requests
+// whenever connections go silent or callers have short timeouts.
 func (a *answer) connBroke() bool {
 	return a.err != nil && !a.expired && kindOf(a.err) == unknownLost && !errors.Is(a.err, context.Canceled)
 }
 
-// send sends o and waits until its answer begins. The answer's body must be
-// closed, once.
+// send sends o and waits until its answer begins. The answer's body must be closed exactly once.
 func (u *Upstreams) send(ctx context.Context, now time.Time, o *outbound) answer {
 	up := u.get(now, o.addr, o.vm)
 	a := newAttempt(up, o.body.stream, o.answerTimeout)
@@ -256,7 +248,7 @@
 		return answer{resp: resp}
 	}
 	if err == nil {
-		// The bound passed in the moment the answer began.
+		// The timeout passed just as the answer began.
 		err = errAnswerTimeout
 		resp.Body.Close()
 	}
@@ -290,7 +282,7 @@
 	return out
 }
 
-// failed ends an attempt without an answer and tells what that means.
+// failed ends an attempt that got no answer, and returns a refusal or an error.
 func (a *attempt) failed(err error) answer {
 	refusal := a.unsent()
 	a.mu.Lock()
@@ -308,25 +300,23 @@
 	return answer{err: err, expired: waited}
 }
 
-// answerBody is the body of an answer. It may stand still for the time of its
-// class, and ends its attempt when it is closed.
+// answerBody is the body of an answer. Each read is limited to the stall timeout, and Close ends
+// the attempt.
 type answerBody struct {
 	io.ReadCloser
 	attempt      *attempt
-	timerStopped bool // the timer is stopped
+	timerStopped bool // the attempt's timer isn't running
 	stallTimeout time.Duration
 }
 
-// Bounds on how long a body may stand still. The least lets a lost packet be
-// sent again.
+// Limits of the stall timeout. The minimum allows for the retransmission of a lost packet.
 const (
 	maxStallTimeout = 30 * time.Second
 	minStallTimeout = time.Second
 )
 
-// stallOf returns how long a body of the class may stand still: no longer than
-// its caller would wait for the whole call, and half of that if the call is
-// idempotent, so that its caller is left time to send it again.
+// stallTimeoutOf returns the stall timeout of a class: its deadline, or half of it for an idempotent
+// class, which leaves the caller time for a retry.
 func stallTimeoutOf(t *config.Target) time.Duration {
 	d := t.Deadline()
 	if t.Idempotent {
@@ -335,7 +325,7 @@
 	return min(max(d, minStallTimeout), maxStallTimeout)
 }
 
-// Read reads the next part, within the bound.
+// Read reads the next part, within the stall timeout.
 func (b *answerBody) Read(p []byte) (int, error) {
 	b.timerStopped = false
 	b.attempt.timer.Reset(b.stallTimeout)
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -6,50 +6,47 @@
 	"sync/atomic"
 )
 
-// Errors of writes to a connection that may not be written to.
+// Errors of blocked writes.
 var (
-	errWritesBlocked = errors.New("proxy: the connection is closed to this request")
+	errWritesBlocked = errors.New("proxy: writes of this request are blocked")
 	errReplay        = errors.New("proxy: the connection broke after the request was sent")
 )
 
-// State of a connection with regard to the call that holds it, in the lowest
-// bits of conn.word. The rest of the word counts the calls that held it.
+// Write state of a connection for its current call, in the lowest bits of conn.state. The other bits
+// are the generation: they count the calls that used the connection.
 const (
-	connClean      uint64 = iota // nothing of the call was written
-	connWritten                  // something was, or is being, written
-	connBlocked                  // nothing was, and nothing may be written any more
-	connDead                     // something was; the connection is closed
+	connClean      uint64 = iota // nothing was written for the call
+	connWritten                  // something was or is being written
+	connBlocked                  // nothing was written, and writes fail
+	connDead                     // something was written, and the connection is closed
 	connStateMask  uint64 = 3
 	connGeneration uint64 = 4
 )
 
-// conn is a connection to another node or to a backend server that knows
-// whether the call that holds it has written anything.
+// conn is a connection to another node or to a backend server that tracks whether its current call
+// has written anything.
 //
-// It guards against two failures. The first is a wrong "not run": an attempt
-// fails, no byte seems to have left, the caller is told so, and then the
-// transport's writer, a goroutine of its own, writes the request after all.
-// bar and Write meet in one atomic word, so either the write counts first and
-// bar says false, or the bar holds and the write fails. The second is
+// It prevents two failures. The first is a wrong "not run": an attempt fails before any byte was
+// written, the caller is answered "not run", and then the transport's writer goroutine writes the
+// request after all. blockWrites and Write update the same atomic word, so either the write comes
+// first and blockWrites returns false, or writes are blocked and Write fails. The second is
 // described at attempt.gotConn.
 type conn struct {
 	net.Conn
-	raw   net.Conn // the socket below Conn if that is encrypted, else nil
+	raw   net.Conn // the socket under Conn if Conn is encrypted, else nil
 	state atomic.Uint64
-	// body is the streaming body of the call that holds the connection.
+	// body is the streaming body of the current call.
 	body atomic.Pointer[streamBody]
-	// replay says that a request that may have run was led onto this
-	// connection.
+	// replay is set if the transport tried to resend on this connection a request that may
+	// have run.
 	replay atomic.Bool
 }
 
-// Close closes the connection and ends the reading of the body that was being
-// sent on it.
+// Close closes the connection and ends reads of the body that is being sent on it.
 //
-// It closes the socket, without the farewell that TLS would write first: that
-// write waits for a far end that reads nothing, and Close is called under the
-// lock of an attempt whose bound has just passed. HTTP/1.1 requests say their
-// own length, so the far end takes none for whole that was cut.
+// It closes the socket without sending the TLS close_notify alert: that write would block on a peer
+// that doesn't read, and Close is called under the lock of an attempt that has just timed out.
+// HTTP/1.1 requests carry their length, so the peer doesn't take a truncated one for complete.
 func (c *conn) Close() error {
 	err := c.socket().Close()
 	if b := c.body.Load(); b != nil {
@@ -65,7 +62,7 @@
 	return c.Conn
 }
 
-// Write marks the call as possibly run before its first byte leaves.
+// Write marks the call as possibly run before its first byte is written.
 func (c *conn) Write(p []byte) (int, error) {
 	for {
 		w := c.state.Load()
@@ -81,10 +78,9 @@
 	}
 }
 
-// refuseWrite writes nothing. To a request that must not be replayed it claims
-// that a byte was written: the transport sends a request of which it believes
-// nothing was written to one connection after another, and would close them
-// all on its way.
+// refuseWrite writes nothing. For a request that must not be replayed it reports one byte as
+// written: if nothing was written, the transport would retry on every idle connection in turn and
+// close them all.
 func (c *conn) refuseWrite() (int, error) {
 	if c.replay.Load() {
 		return 1, errReplay
@@ -92,10 +88,9 @@
 	return 0, errWritesBlocked
 }
 
-// begin hands the connection to a call and returns the call's ticket, which is
-// the word of the clean connection. The
-// transport gives a connection to one call at a time, and only when all of the
-// call before is written.
+// assign assigns the connection to a call and returns the call's generation, which is the state of
+// the clean connection. The transport assigns a connection to one call at a time, and only after
+// the previous call was written completely.
 func (c *conn) assign(b *streamBody) uint64 {
 	c.body.Store(b)
 	if b != nil {
@@ -114,17 +109,17 @@
 	}
 }
 
-// bar reports whether nothing was written for the call with that ticket, and
-// if so makes sure that nothing ever is.
-func (c *conn) blockWrites(ticket uint64) bool {
-	return c.state.CompareAndSwap(ticket, ticket|connBlocked) ||
-		c.state.Load() == ticket|connBlocked
+// blockWrites reports whether nothing was written for the call with that generation, and if so
+// blocks its later writes.
+func (c *conn) blockWrites(generation uint64) bool {
+	return c.state.CompareAndSwap(generation, generation|connBlocked) ||
+		c.state.Load() == generation|connBlocked
 }
 
-// kill closes the connection if the call with that ticket still holds it. A
-// call that takes it in the same moment finds it barred, and can go elsewhere.
-func (c *conn) closeFor(ticket uint64) {
-	if c.state.CompareAndSwap(ticket|connWritten, ticket|connDead) || c.blockWrites(ticket) {
+// closeFor closes the connection if the call with that generation still uses it. A call that is
+// assigned the connection at the same time finds its writes blocked and can use another one.
+func (c *conn) closeFor(generation uint64) {
+	if c.state.CompareAndSwap(generation|connWritten, generation|connDead) || c.blockWrites(generation) {
 		_ = c.Close()
 	}
 }
--- a/internal/proxy/context.go
+++ b/internal/proxy/context.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// attemptContext is the context of one attempt: that of the call, with the
-// hooks of the attempt and the moment by which a connection must stand. It is
-// one allocation in place of one for each value.
+// attemptContext is the context of one attempt: that of the call, with the trace hooks and the dial
+// deadline of the attempt. It replaces one context allocation for each value.
 type attemptContext struct {
 	context.Context
 	trace        *httptrace.ClientTrace
 	dialDeadline time.Time
 }
 
-// attemptKey is the key under which an attemptContext finds itself.
+// attemptKey is the context key of the attemptContext itself.
 type attemptKey struct{}
 
-// Value returns the attempt's own values, and else those of the call.
+// Value returns the attempt's own values, or else those of the call.
 func (c *attemptContext) Value(key any) any {
 	switch key {
 	case traceKey:
@@ -29,9 +28,9 @@
 	return c.Context.Value(key)
 }
 
-// dialBy returns the moment by which the connection of an attempt must stand.
-// The transport dials with a context that keeps the values of the attempt's,
-// but not its cancellation.
+// dialDeadline returns the time by which the connection of an attempt must be established. The
+// transport dials with a context that keeps the values of the attempt's context, but not its
+// cancellation.
 func dialDeadline(ctx context.Context) (time.Time, bool) {
 	c, ok := ctx.Value(attemptKey{}).(*attemptContext)
 	if !ok {
@@ -40,16 +39,16 @@
 	return c.dialDeadline, true
 }
 
-// traceKey is the key under which httptrace looks for its hooks.
+// traceKey is the context key under which httptrace stores its hooks.
 var traceKey = findTraceKey()
 
-// keySpy notes the key that it is asked for.
+// keyRecorder records the key that Value is called with.
 type keyRecorder struct {
 	context.Context
 	key any
 }
 
-// Value notes key.
+// Value records key.
 func (s *keyRecorder) Value(key any) any {
 	s.key = key
 	return nil
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -10,54 +10,52 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// Dialect says how calls look outside the mesh: to callers and to backend
-// servers. Between nodes they always look the same.
+// Dialect defines the headers and status codes used towards callers and backend servers. Between
+// nodes they are always the same.
 type Dialect interface {
-	// CallID returns what a call is called in the logs of all nodes, or "".
+	// CallID returns the ID of a call in the logs of all nodes, or "".
 	CallID(h http.Header) string
-	// AcceptCall returns how long the call may take, and sets in h what only this
-	// node may say of where the call came from. ok is false when the caller
-	// asked for something that is no time.
+	// AcceptCall returns how long the call may take, and sets the headers in h about the call's
+	// origin that only this node may set. ok is false if the caller's deadline is malformed.
 	AcceptCall(h http.Header, t *config.Target) (left time.Duration, ok bool)
-	// TakeKey returns the caller's API key, or "". It removes what the caller says of its
-	// workspace, and the key itself if hide is set.
+	// TakeKey returns the caller's API key, or "". It removes a workspace header set by the
+	// caller, and the key itself if hide is set.
 	TakeKey(h http.Header, hide bool) string
-	// SetWorkspace tells backend servers the workspace of a call.
+	// SetWorkspace sets the workspace of a call for backend servers.
 	SetWorkspace(h http.Header, name string)
-	// Workspace returns what SetWorkspace set, or "".
+	// Workspace returns the workspace set by SetWorkspace, or "".
 	Workspace(h http.Header) string
-	// AttemptHeaders returns the headers that one attempt adds for the backend server.
-	// Left is rounded down, so that a hop never grants more than there is.
+	// AttemptHeaders returns the headers that one attempt adds for the backend server. left is
+	// rounded down, so that a hop never grants more time than remains.
 	AttemptHeaders(left time.Duration, instance string) AttemptHeaders
-	// ReadResponse judges the beginning of a backend server's answer. Sent is the whole
-	// header of the attempt, with what Attempt added.
+	// ReadResponse evaluates the status and header of a backend server's answer. sent is the
+	// whole header of the attempt, including the headers of AttemptHeaders.
 	ReadResponse(sent http.Header, resp *http.Response) ResponseInfo
-	// RefusalStatus returns the status that tells a caller of a refusal, and the
-	// value of Retry-After, empty for none.
+	// RefusalStatus returns the status code for a refusal and the value of Retry-After, empty
+	// for none.
 	RefusalStatus(r *call.Refusal) (status int, retryAfter string)
 }
 
-// AttemptHeaders are the headers that one attempt adds. Those without a name
-// are left out.
+// AttemptHeaders are the headers that one attempt adds. Entries without a name are skipped.
 type AttemptHeaders [3]Header
 
 // Header is one header of a request.
 type Header struct{ Name, Value string }
 
-// ResponseInfo is what the beginning of a backend server's answer says.
+// ResponseInfo is the result of evaluating a backend server's answer.
 type ResponseInfo struct {
-	// Refusal is set when the backend server said that it did not run the call.
+	// Refusal is set if the backend server reported that it did not run the call.
 	Refusal *call.Refusal
-	// Err is set when the answer is not that of this attempt or cannot be
-	// passed on. The call may have run.
+	// Err is set if the answer doesn't belong to this attempt or can't be relayed. The call may
+	// have run.
 	Err  error
 	Load Load
 }
 
-// ownDialect is the one of marlpass itself.
+// ownDialect is the native dialect of marlpass.
 type ownDialect struct{}
 
-// headerRequestID is how callers of marlpass itself may name a call.
+// headerRequestID is the call ID that callers may set in the native dialect.
 const headerRequestID = "X-Request-Id"
 
 // CallID implements Dialect.
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -12,32 +12,32 @@
 	"github.com/marlpass/marlpass/internal/retry"
 )
 
-// EntryOptions are what an Entry is made of. Admitter and Suspects may be nil.
+// EntryOptions are the dependencies and settings of an Entry. Admitter and Suspects may be nil.
 type EntryOptions struct {
 	Self      string // this node's VM
 	Programs  Programs
-	Readiness Readiness // nil where the node is ready
+	Readiness Readiness // nil if the node is ready
 	Admitter  Admitter
 	Pickers   Pickers
 	Retrier   Retrier
 	Suspects  Suspects
-	// Workspaces bounds the calls of workspaces; nil bounds none.
+	// Workspaces limits the calls of workspaces; nil means no limit.
 	Workspaces Workspaces
-	Local      *Destination // of this VM; nil sends every call over a socket
+	Local      *Destination // on this VM; nil sends every call over a socket
 	Upstreams  *Upstreams
-	Meters     *Meters // of the calls that enter here; its own when nil
+	Meters     *Meters // of the calls received here; NewEntry creates them when nil
 	Tracer     *Tracer
-	Dialect    Dialect // marlpass's own when nil
-	// Decisions takes a line for each decision that needs one; nil writes none.
+	Dialect    Dialect // the native dialect when nil
+	// Decisions logs decisions that operators need to see; nil logs none.
 	Decisions *decisions.Log
-	// NoAttemptTimeout gives every attempt all of the call's time, where an endpoint that
-	// is at work must not be given up. Connections that went silent are then
-	// found by the kernel's probes alone.
+	// NoAttemptTimeout gives every attempt all of the call's remaining time, for services
+	// whose running calls must not be abandoned. Dead connections are then detected by the
+	// kernel's keep-alive probes alone.
 	NoAttemptTimeout bool
 	Now              func() time.Time // time.Now when nil
 }
 
-// Entry takes calls from callers and sends them to destination nodes.
+// Entry receives calls from callers and forwards them to destination nodes.
 type Entry struct {
 	EntryOptions
 	kept      keptBodies
@@ -45,7 +45,7 @@
 	freeSlots freeSlotShares
 }
 
-// NewEntry returns an Entry.
+// NewEntry returns an Entry and fills in the defaults of p.
 func NewEntry(p EntryOptions) *Entry {
 	if p.Now == nil {
 		p.Now = time.Now
@@ -69,39 +69,40 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { e.serve(w, r, true) })
 }
 
-// entering is one call at its entry node.
+// entryCall is the state of one call at its entry node.
 type entryCall struct {
 	r      *http.Request
 	target *config.Target
 	class  *ClassMeter
 	body   body
-	id     string // what the logs call it
+	id     string // in the logs
 	start  time.Time
-	// asked is when the caller first asked, if it was refused here and came back.
+	// firstAttempt is when the caller first sent the request, if this node refused it and the
+	// caller is retrying; otherwise start.
 	firstAttempt time.Time
 	deadline     time.Time
 	version      uint64 // of the configuration that matched it
-	maxBody      int64  // bytes; zero for no bound
+	maxBody      int64  // bytes; zero means no limit
 	tried        []string
 	search       slotSearch // for a free slot
-	// closed are the endpoints tried that take no calls.
+	// unavailable are the tried endpoints that currently accept no calls.
 	unavailable []string
-	// pinned are the endpoints that refused a suspect as pinned to another.
+	// pinned are the endpoints that refused the suspect request as pinned to another endpoint.
 	pinned        []string
-	attempts      int // attempts made
-	reached       int // attempts that a backend server got, or may have
+	attempts      int // made so far
+	reached       int // attempts that a backend server received or may have received
 	fp            quarantine.Fingerprint
-	isolated      bool // to be run at one place at a time
-	parentRetried bool // the call is part of one that is being retried
-	// lost is why an attempt that may have run gave no answer, or nil.
+	isolated      bool // to be run at one endpoint at a time
+	parentRetried bool // the call was made by a call that is being retried
+	// unknownErr is the error of the last attempt that may have run without an answer, or nil.
 	unknownErr error
-	// workspace is the one whose quota the call counts against, or nil.
+	// workspace is the workspace whose quota the call is counted against, or nil.
 	workspace *config.Workspace
 }
 
 var entryCalls = sync.Pool{New: func() any { return new(entryCall) }}
 
-// free gives c back for another call.
+// free resets c and returns it to the pool.
 func (c *entryCall) free() {
 	*c = entryCall{tried: c.tried[:0], search: slotSearch{rejected: c.search.rejected[:0]}, unavailable: c.unavailable[:0], pinned: c.pinned[:0]}
 	entryCalls.Put(c)
@@ -118,7 +119,7 @@
 	}
 	if refusal := e.match(c, internal); refusal != nil {
 		if refusal.Reason == call.ReasonTooLarge {
-			// What is still to come of the body would be read as a next call.
+			// The unread rest of the body would be parsed as the next request.
 			w.Header()["Connection"] = closeValue
 		}
 		e.refuse(w, c, refusal)
@@ -146,7 +147,8 @@
 	e.run(ctx, w, c, span)
 }
 
-// suspect finds out whether the request is one that crashes backend servers.
+// checkSuspect refuses a request that is quarantined, and marks one suspected of crashing backend
+// servers as isolated.
 func (e *Entry) checkSuspect(c *entryCall) *call.Refusal {
 	c.fp = fingerprintOf(c.r, c.r.Header, &c.body)
 	if e.Suspects == nil {
@@ -159,14 +161,14 @@
 	return nil
 }
 
-// fingerprintOf recognises a request when it is sent again.
+// fingerprintOf returns a fingerprint that is equal for retries of the same request.
 func fingerprintOf(r *http.Request, h http.Header, b *body) quarantine.Fingerprint {
 	return quarantine.NewFingerprint(r.Method, r.Host, r.URL.Path, r.URL.RawQuery, h, b.length, b.kept)
 }
 
-// setExpect asks the destination node to say when it wants the body, if the
-// body streams: a refusal then comes before any of it was read, and the call can
-// go to another endpoint. A body that was read already needs no such word.
+// setExpect sets "Expect: 100-continue" for the destination node if the body is streamed. A refusal
+// then arrives before any of the body is read, and the call can still go to another endpoint. A
+// buffered body needs no Expect.
 func setExpect(c *entryCall) {
 	delete(c.r.Header, "Expect")
 	if c.body.streams() {
@@ -176,7 +178,7 @@
 
 var expectValue = []string{"100-continue"}
 
-// match finds the call's class and deadline, and refuses what may not enter.
+// match sets the call's class and deadline, and refuses calls that are not allowed here.
 func (e *Entry) match(c *entryCall, internal bool) *call.Refusal {
 	if wantsUpgrade(c.r) {
 		return refuse(call.ReasonBadRequest, 0, "upgrades are not carried")
@@ -212,16 +214,16 @@
 	return e.authenticate(c, p.Keys)
 }
 
-// MayRunAhead reports whether a call may run before its caller's earlier calls on
-// the same connection were answered: it must be one that may run twice.
+// MayRunAhead reports whether a pipelined call may run before earlier calls on the same connection
+// are answered. Only idempotent calls may.
 func (e *Entry) MayRunAhead(r *http.Request) bool {
 	t, ok := e.Programs.Program().Matcher.Match(r.Host, r.URL.Path, r.Method)
 	return ok && t.Idempotent
 }
 
-// unmatched refuses a call that belongs to no class. A node that has just
-// started holds no classes yet: its callers must come back, and not be told
-// that there is no such route.
+// unmatched refuses a call that matches no class. A node that has just started has no classes yet:
+// the Admitter then refuses the call as retryable, so that the caller isn't told that the route
+// doesn't exist.
 func (e *Entry) unmatched(c *entryCall) *call.Refusal {
 	if e.Admitter != nil {
 		if r := e.Admitter.Admit(c.start, nil); r != nil {
--- a/internal/proxy/entry_answer.go
+++ b/internal/proxy/entry_answer.go
@@ -10,14 +10,14 @@
 	"github.com/marlpass/marlpass/internal/retry"
 )
 
-// answer passes the answer on and reports it.
+// answer relays the answer to the caller and records its outcome.
 func (e *Entry) answer(w http.ResponseWriter, c *entryCall, choice Choice, a *answer, sent time.Time) {
-	first := e.Now().Sub(sent)
-	endpoint := choice.Endpoint().ID // the choice is used again after Done
-	p := passed{partial: true}       // should relay panic
+	latency := e.Now().Sub(sent)
+	endpoint := choice.Endpoint().ID // Done recycles choice
+	p := passed{partial: true}       // in case relay panics
 	defer func() {
 		now := e.Now()
-		rep := report(a, first)
+		rep := report(a, latency)
 		rep.Failed = rep.Failed || p.partial
 		rep.Bytes = p.bytes
 		choice.Done(now, rep)
@@ -40,10 +40,9 @@
 	}
 }
 
-// refuse tells the caller that its call was not run, unless an earlier attempt
-// may have run. An idempotent call is sent again after such an attempt; when
-// the next one is refused, that refusal speaks for the attempt alone, and a
-// caller told "not run" would believe it of the call.
+// refuse answers that the call was not run, unless an earlier attempt may have run. An idempotent
+// call is retried after such an attempt; a refusal of the retry says nothing about the earlier
+// attempt, so the call as a whole must not be reported as not run.
 func (e *Entry) refuse(w http.ResponseWriter, c *entryCall, r *call.Refusal) {
 	if c.unknownErr != nil {
 		e.unknown(w, c)
@@ -63,9 +62,9 @@
 
 var finalValue = []string{"1"}
 
-// giveUp tells the caller what is known of the last attempt, and when to come
-// back. A backend server that is told so for a call of its own can pass the
-// mark on with its refusal, and no node further up will retry in vain.
+// giveUp answers with the result of the last attempt and a retry delay, and sets retry.HeaderFinal.
+// A backend server that gets the header for a call of its own can pass it on with its refusal, so
+// that nodes further up the call chain don't retry in vain.
 func (e *Entry) giveUp(w http.ResponseWriter, c *entryCall, a *answer, d retry.Decision) {
 	w.Header()[retry.HeaderFinal] = finalValue
 	if a.refusal != nil {
@@ -77,11 +76,11 @@
 	e.unknown(w, c)
 }
 
-// unknown tells the caller that its call may have run.
+// unknown answers that the call may have run.
 func (e *Entry) unknown(w http.ResponseWriter, c *entryCall) {
 	now := e.Now()
 	if kindOf(c.unknownErr) == unknownStore {
-		// The sending itself was refused; it is no failed answer.
+		// This attempt was refused and isn't a failed answer.
 		c.class.Refused(now, call.ReasonStoreDown)
 	} else {
 		c.class.Answered(now, now.Sub(c.start), true)
@@ -91,20 +90,20 @@
 	writeUnknown(w, c.unknownErr)
 }
 
-// report tells the picker how an attempt went.
+// report returns the result of an attempt for the picker.
 func report(a *answer, latency time.Duration) Report {
 	r := Report{Outcome: a.outcome(), Latency: latency, Load: a.load, LinkWait: a.linkWait}
 	switch {
 	case a.refusal != nil:
 		r.Refused = a.refusal.Reason
 	case a.err != nil && ofKey(kindOf(a.err)):
-		// It is the key's earlier sending that may have run. This attempt
-		// reached no backend server, and a client that sends one lost key
-		// over and over must not make its endpoint look like a failing one.
+		// An earlier call with the key may have run, but this attempt reached no
+		// backend server. A client that keeps resending a key with an unknown
+		// outcome must not count against the endpoint.
 		r.Outcome = call.NotRun
 	case errors.Is(a.err, context.Canceled):
-		// The caller left, which says nothing of the endpoint. Counted as
-		// failures, impatient callers would have its healthy endpoints ejected.
+		// The caller left, which isn't a fault of the endpoint. Counting it as a
+		// failure would eject healthy endpoints whose callers have short timeouts.
 		r.Cancelled = true
 	case a.err != nil:
 		r.Failed = true
--- a/internal/proxy/entry_key.go
+++ b/internal/proxy/entry_key.go
@@ -7,20 +7,20 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// Workspaces bounds the calls of workspaces.
+// Workspaces enforces the quotas of workspaces.
 type Workspaces interface {
-	// CheckKeys returns the refusal of a call with a key while this node can't tell whether
-	// the keys that it holds are still given out, or nil.
+	// CheckKeys returns nil, or a refusal for every call with a key while this node can't
+	// confirm that the keys in its configuration are still valid.
 	CheckKeys(now time.Time) *call.Refusal
-	// Admit counts a call against its workspace's quota, or returns the refusal of a call over
-	// it.
+	// Admit counts a call against its workspace's quota and returns nil, or returns a refusal if
+	// the quota is used up.
 	Admit(now time.Time, w *config.Workspace) *call.Refusal
-	// Refund takes back what Admit counted for a call that was not run.
+	// Refund uncounts a call that was admitted but not run.
 	Refund(now time.Time, w *config.Workspace)
 }
 
-// authenticate finds the workspace of a call by its API key. Where the configuration has
-// workspaces, neither the key nor what the caller says of its workspace is passed on.
+// authenticate finds the workspace of a call by its API key. If the configuration has workspaces,
+// neither the key nor a workspace header set by the caller is forwarded.
 func (e *Entry) authenticate(c *entryCall, keys *config.Keyring) *call.Refusal {
 	key := e.Dialect.TakeKey(c.r.Header, keys != nil)
 	if keys == nil {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// giveBack takes a call that was not run off its workspace's quota.
+// refund uncounts a call that was not run from its workspace's quota.
 func (e *Entry) refund(c *entryCall) {
 	if c.workspace != nil {
 		e.Workspaces.Refund(e.Now(), c.workspace)
--- a/internal/proxy/entry_log.go
+++ b/internal/proxy/entry_log.go
@@ -11,7 +11,7 @@
 	"github.com/marlpass/marlpass/internal/retry"
 )
 
-// line begins a line about c, with what every one of them tells.
+// logLine begins a log line about c with the common fields, or returns nil if the decision isn't logged.
 func (e *Entry) logLine(now time.Time, k decisions.Kind, c *entryCall) *zerolog.Event {
 	l := e.Decisions.Line(now, k, c.id)
 	if l == nil {
@@ -21,7 +21,7 @@
 		l.Str("class", c.target.Name).Str("service", c.target.Service)
 	}
 	if before := c.start.Sub(c.firstAttempt); before > 0 {
-		l.Int64("before_ms", before.Milliseconds()) // since the caller first asked and was refused
+		l.Int64("before_ms", before.Milliseconds()) // since the caller's first, refused attempt
 	}
 	if n := len(c.search.rejected); n > 0 {
 		l.Int("looks", n)
@@ -30,7 +30,7 @@
 		Int64("after_ms", now.Sub(c.start).Milliseconds())
 }
 
-// left returns how many milliseconds of c's time are left.
+// remainingMS returns the time until c's deadline in milliseconds.
 func (c *entryCall) remainingMS(now time.Time) int64 { return c.deadline.Sub(now).Milliseconds() }
 
 func (e *Entry) logRefusal(c *entryCall, r *call.Refusal) {
@@ -54,15 +54,15 @@
 	l.AnErr("cause", a.err).Msg("entry: send the call to another endpoint")
 }
 
-// logAnswer tells of an answer that was not as it should be, and counts the rest.
+// logAnswer logs an answer that was cut off, failed or late, and counts all others.
 func (e *Entry) logAnswer(now time.Time, c *entryCall, endpoint string, a *answer, p passed) {
 	took, aim := now.Sub(c.start), c.target.AnswerWithin()
 	kind, text := decisions.Kind(""), ""
 	switch {
 	case p.partial || p.gone:
-		kind, text = decisions.Cut, "entry: the answer broke off, or its caller left"
+		kind, text = decisions.Cut, "entry: the answer was cut off, or the caller left"
 	case a.resp.StatusCode >= http.StatusInternalServerError:
-		kind, text = decisions.Failed, "entry: pass on the backend server's failure"
+		kind, text = decisions.Failed, "entry: relay a server error of the backend server"
 	case aim > 0 && took > aim:
 		kind, text = decisions.Late, "entry: the answer is later than the class aims at"
 	default:
--- a/internal/proxy/entry_pick.go
+++ b/internal/proxy/entry_pick.go
@@ -12,7 +12,7 @@
 	"github.com/marlpass/marlpass/internal/quarantine"
 )
 
-// ErrTriedAll is returned by Pickers when every endpoint has had the call.
+// ErrTriedAll is returned by Pickers when every endpoint was tried.
 var ErrTriedAll = errors.New("proxy: every endpoint was tried")
 
 func (e *Entry) pick(now time.Time, c *entryCall) (Choice, error) {
@@ -29,14 +29,13 @@
 	return e.Pickers.Pick(now, c.target, PickInfo{Tried: c.tried})
 }
 
-// avoid returns the endpoints that an isolated call must not or cannot run at.
+// avoided returns the endpoints at which an isolated call must not or cannot run.
 //
-// Those that crashed with the call are the same at every node, so that all
-// choose the same endpoint. The closed ones are added since the chosen endpoint
-// may be down for another reason, such as an earlier crash that this node knows
-// nothing of. An innocent call would else be sent to it until its attempts are
-// used up, while all others could run it. An endpoint that takes no calls runs
-// no suspect, so at most one endpoint still does.
+// The endpoints that crashed with the call are the same at every node, so that all nodes choose the
+// same endpoint. Unavailable ones are added because the chosen endpoint may be down for another
+// reason, such as a crash that this node has not learned of; a harmless call would otherwise use up
+// its attempts there while other endpoints could run it. An unavailable endpoint runs no suspect
+// requests, so at most one endpoint runs this one.
 func (c *entryCall) avoided(crashed []string) []string {
 	if len(c.unavailable)+len(c.pinned) == 0 {
 		return crashed
@@ -44,9 +43,8 @@
 	return slices.Concat(crashed, c.unavailable, c.pinned)
 }
 
-// notePinned makes the next attempt run isolated after a destination said that
-// the request is a suspect and pinned to another endpoint. This node may know
-// nothing of the crash.
+// notePinned isolates the next attempt after a destination refused the request as a suspect pinned
+// to another endpoint. This node may not know of the crash.
 func (c *entryCall) notePinned(a *answer, ep Endpoint) {
 	if a.refusal != nil && a.refusal.Reason == call.ReasonPinned {
 		c.isolated = true
@@ -54,12 +52,12 @@
 	}
 }
 
-// settled reports whether the next endpoint has to take the suspect.
+// settled reports whether the next endpoint must accept the suspect request.
 func (c *entryCall) settled() bool {
 	return c.isolated && (len(c.unavailable) > 0 || len(c.pinned) >= quarantine.MaxPinnedRefusals)
 }
 
-// takesNone reports whether the refusal says that the endpoint takes no calls.
+// isUnavailable reports whether the refusal means that the endpoint currently accepts no calls.
 func isUnavailable(r *call.Refusal) bool {
 	if r == nil {
 		return false
@@ -71,10 +69,10 @@
 	return false
 }
 
-// guardKey returns the key of a call that one destination node guards by itself
-// when the platform is down. That holds only if its resends reach the same node,
-// so of those that were tried only the ones that take no calls are left out: a
-// call that ran elsewhere for want of room would run again when it is resent.
+// localGuardKey returns the idempotency key of a call that a single destination node deduplicates
+// when the platform is down, or "". That works only if retries reach the same node, so only
+// unavailable endpoints are skipped: a call that ran elsewhere because its node was busy would run
+// again when it is retried.
 func localGuardKey(c *entryCall) string {
 	if c.target.Idempotent || c.target.StoreDownRule() != config.OnStoreDownLocalGuard {
 		return ""
@@ -82,8 +80,8 @@
 	return first(c.r.Header, call.HeaderKey)
 }
 
-// pickRefusal returns the refusal of a call that no endpoint can take: last,
-// that of the attempt before, if every endpoint was tried.
+// pickRefusal returns the refusal of a call for which no endpoint could be picked: that of the
+// picker, or else last, the refusal of the previous attempt.
 func pickRefusal(err error, last *call.Refusal) *call.Refusal {
 	var r *call.Refusal
 	switch {
--- a/internal/proxy/entry_run.go
+++ b/internal/proxy/entry_run.go
@@ -10,7 +10,7 @@
 	"github.com/marlpass/marlpass/internal/wait"
 )
 
-// run makes attempts until one is answered or none may follow.
+// run makes attempts until one is answered or no retry is allowed.
 func (e *Entry) run(ctx context.Context, w http.ResponseWriter, c *entryCall, s span) {
 	var last *call.Refusal
 	for {
@@ -33,7 +33,7 @@
 		choice.Done(e.Now(), report(&a, e.Now().Sub(now)))
 		if c.search.foundNoSlot(&a) && ctx.Err() == nil {
 			c.search.reject(ep.ID)
-			c.attempts-- // a look is no attempt: nothing further down was asked to run it
+			c.attempts-- // an offer in the slot search doesn't count as an attempt, since nothing ran
 			continue
 		}
 		e.recordUnanswered(c, ep, &a)
@@ -47,7 +47,7 @@
 	}
 }
 
-// noteUnanswered keeps what an attempt without an answer says for the next one.
+// recordUnanswered records the result of an attempt without an answer for the next attempt.
 func (e *Entry) recordUnanswered(c *entryCall, ep Endpoint, a *answer) {
 	if a.reached() {
 		c.reached++
@@ -65,14 +65,14 @@
 	}
 }
 
-// overdue reports whether c has waited longer than its class aims at.
+// overdue reports whether c has taken longer than the latency target of its class.
 func (c *entryCall) overdue(now time.Time) bool {
 	aim := c.target.AnswerWithin()
 	return aim > 0 && now.Sub(c.firstAttempt) > aim
 }
 
-// broke tells the suspects of a call that broke at ep, and asks whether the
-// next attempt has to run isolated.
+// recordBroken reports to Suspects that the connection to ep broke during the call, and updates
+// whether the next attempt runs isolated.
 func (e *Entry) recordBroken(c *entryCall, ep Endpoint) {
 	if e.Suspects == nil {
 		return
@@ -82,7 +82,7 @@
 	c.isolated = e.Suspects.Isolated(now, c.fp)
 }
 
-// again decides on another attempt, and waits for it as told.
+// decideRetry decides whether the call is retried, and waits for the backoff.
 func (e *Entry) decideRetry(ctx context.Context, c *entryCall, a *answer) retry.Decision {
 	now := e.Now()
 	d := e.Retrier.Decide(c.target.Service, retry.Input{
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -21,8 +21,8 @@
 
 const internalPrefix = "Marlpass-"
 
-// first returns the first value of a header whose name is canonical. Unlike
-// Header.Get it does not look at the name's spelling.
+// first returns the first value of a header, or "". Unlike Header.Get it doesn't canonicalise the
+// name.
 func first(h http.Header, canonical string) string {
 	if v := h[canonical]; len(v) > 0 {
 		return v[0]
@@ -30,7 +30,7 @@
 	return ""
 }
 
-// dropHopByHop removes the headers of one connection.
+// dropHopByHop removes the hop-by-hop headers, including those named in Connection.
 func dropHopByHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for token := range strings.SplitSeq(line, ",") {
@@ -42,8 +42,7 @@
 	}
 }
 
-// dropOwn removes every header that only nodes may set. Whoever else sends
-// one is not believed.
+// dropInternal removes every header that only nodes may set.
 func dropInternal(h http.Header) {
 	for name := range h {
 		if strings.HasPrefix(name, internalPrefix) {
@@ -52,8 +51,8 @@
 	}
 }
 
-// wantsUpgrade reports whether the caller asks to leave HTTP on this
-// connection, which a call cannot do.
+// wantsUpgrade reports whether the caller wants to switch protocols on this connection, which is not
+// supported.
 func wantsUpgrade(r *http.Request) bool {
 	return r.Method == http.MethodConnect || len(r.Header["Upgrade"]) > 0
 }
@@ -70,9 +69,8 @@
 	h["X-Forwarded-For"] = []string{ip}
 }
 
-// timeLeft returns what the caller allows, at most maxDeadline, or what the
-// target grants when the caller says nothing. The last result is false when the
-// caller sent something else than a number.
+// timeLeft returns the time that the caller's deadline header allows, at most maxDeadline, or
+// granted if there is no such header. It returns false if the header is not a whole number.
 func timeLeft(h http.Header, granted time.Duration) (time.Duration, bool) {
 	s := first(h, call.HeaderDeadline)
 	if s == "" {
@@ -82,19 +80,19 @@
 	if err != nil {
 		return 0, false
 	}
-	// Both ends are bounded before the multiplication: far below zero, the
-	// product overflows to a deadline in centuries.
+	// The lower bound matters too: the product of a large negative number overflows to a
+	// deadline centuries ahead.
 	const most = int64(maxDeadline / time.Millisecond)
 	ms = min(max(ms, -most), most)
 	return time.Duration(ms) * time.Millisecond, true
 }
 
-// maxDeadline bounds what a caller may ask for.
+// maxDeadline is the longest deadline that a caller may set.
 const maxDeadline = time.Hour
 
-// attemptHeaders returns what a backend server is told of the attempt: a fresh
-// nonce, and the time left, rounded down so that a hop never grants more than
-// there is. The two values share their memory.
+// attemptHeaders returns the headers of an attempt to a backend server: a fresh nonce and the time
+// left, rounded down so that a hop never grants more time than remains. Both values share one
+// allocation.
 func attemptHeaders(left time.Duration) (nonce, ms Header) {
 	b := make([]byte, 0, 32)
 	b = strconv.AppendUint(b, rand.Uint64(), 16)
@@ -104,7 +102,7 @@
 	return Header{call.HeaderAttempt, s[:n]}, Header{call.HeaderDeadline, s[n:]}
 }
 
-// parseLoad reads "busy/slots".
+// parseLoad parses "busy/slots". It returns the zero Load if the header is missing or malformed.
 func parseLoad(h http.Header) Load {
 	busy, slots, ok := strings.Cut(first(h, call.HeaderLoad), "/")
 	if !ok {
--- a/internal/proxy/hop.go
+++ b/internal/proxy/hop.go
@@ -7,45 +7,41 @@
 	"time"
 )
 
-// hop is what the entry node tells the destination node of a call, in
-// call.HeaderHop: the time left in milliseconds, the class, the service and the
-// instance.
+// hop is the information on a call that the entry node sends to the destination node. The time left
+// in milliseconds, the class, the service and the instance are in call.HeaderHop.
 type hop struct {
 	left     time.Duration
 	class    string
 	service  string
 	instance string
-	// settled says that the call was refused as pinned to another endpoint
-	// often enough, or that its endpoint takes no calls. It travels in
-	// headerSettled, which only suspects carry.
+	// settled is set if the call was refused as pinned quarantine.MaxPinnedRefusals times, or if
+	// an endpoint was unavailable. It is sent in headerSettled, for suspect requests only.
 	settled bool
-	// waited is how long ago the caller first asked, earlier sendings that were
-	// refused included. It travels in headerWaited.
+	// waited is the time since the caller's first attempt, including refused attempts. It is
+	// sent in headerWaited.
 	waited time.Duration
-	// once says that the caller will not come back when it is refused. It travels
-	// in headerOnce.
+	// oneShot is set if the caller doesn't retry a refused call. It is sent in headerOnce.
 	oneShot bool
-	// noWait says that the call is to start now or be refused as busy. It travels
-	// in headerNoWait.
+	// noWait is set if the call must start at once or be refused as busy. It is sent in
+	// headerNoWait.
 	noWait bool
 }
 
-// headerNoWait marks, between nodes, a call that looks for a free slot.
+// headerNoWait marks, between nodes, a call that searches for a free slot.
 const headerNoWait = "Marlpass-No-Wait"
 
 var noWaitValue = []string{"1"}
 
-// headerOnce marks, between nodes, a call that is lost when it is refused.
+// headerOnce marks, between nodes, a call whose caller doesn't retry a refusal.
 const headerOnce = "Marlpass-Once"
 
 var onceValue = []string{"1"}
 
-// headerWaited tells a destination how many milliseconds the caller has waited, where
-// that is more than waitedLeast.
+// headerWaited is, between nodes, hop.waited in milliseconds. It is set only above minWaited.
 const headerWaited = "Marlpass-Waited"
 
-// waitedLeast is a wait that decides nothing, a few ways between data centres long.
-// Most calls have waited less, and need no header.
+// minWaited is a few times the latency between data centres. A shorter wait has no effect on
+// queueing, so that most calls need no header.
 const minWaited = 10 * time.Millisecond
 
 func setWaited(h http.Header, waited time.Duration) {
@@ -55,11 +51,11 @@
 	}
 }
 
-// parseWaited returns zero for a header that is not there or says nothing.
+// parseWaited returns zero if the header is missing or malformed.
 func parseWaited(h http.Header) time.Duration {
 	value := first(h, headerWaited)
 	if value == "" {
-		return 0 // most calls have none, and an error costs an allocation
+		return 0 // most calls have no such header, and a parse error allocates
 	}
 	ms, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || ms < 0 || ms > maxDeadline.Milliseconds() {
@@ -68,12 +64,12 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// headerSettled marks, between nodes, a suspect that this endpoint must take.
+// headerSettled marks, between nodes, a suspect request that this endpoint must accept.
 const headerSettled = "Marlpass-Settled"
 
 var settledValue = []string{"1"}
 
-// String encodes h. Names hold no spaces: config.Check sees to it.
+// String encodes h. config.Check ensures that names contain no spaces.
 func (h hop) String() string {
 	b := make([]byte, 0, 64)
 	b = strconv.AppendInt(b, int64(h.left/time.Millisecond), 10)
@@ -86,7 +82,7 @@
 	return string(b)
 }
 
-// parseHop decodes a hop; ok is false when s is none.
+// parseHop decodes the result of hop.String; ok is false if s is malformed.
 func parseHop(s string) (h hop, ok bool) {
 	ms, rest, ok1 := strings.Cut(s, " ")
 	class, rest, ok2 := strings.Cut(rest, " ")
@@ -95,7 +91,8 @@
 	if !ok1 || !ok2 || !ok3 || err != nil || class == "" || service == "" {
 		return hop{}, false
 	}
-	// Both ends: far below zero, the product overflows to a time ahead.
+	// The lower bound matters too: the product of a large negative number overflows to a
+	// positive duration.
 	const most = int64(maxDeadline / time.Millisecond)
 	n = min(max(n, -most), most)
 	return hop{left: time.Duration(n) * time.Millisecond, class: class, service: service, instance: instance}, true
--- a/internal/proxy/look.go
+++ b/internal/proxy/look.go
@@ -9,45 +9,42 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// A call first looks for an endpoint with a free slot: it is offered to a few, one after
-// the other, that are to start it now or refuse it at once. Only then does it wait, at
-// one of them.
+// A call first searches for an endpoint with a free slot: it is offered to a few endpoints in turn,
+// which start it at once or refuse it as busy. Only if all refuse does it queue at one endpoint.
 //
-// It guards against calls that wait, or are refused in the end, while slots are free
-// elsewhere. In a mesh of hundreds of nodes an entry node sends a few calls a minute to
-// each endpoint, and what it knows of their load is out of date, so its choice is as good
-// as chance. A refusal takes a way there and back, a few milliseconds, where the wait for
-// a slot takes hundreds. With 300 nodes and 85 in 100 slots busy, 5 calls in 100 then wait
-// or are refused where 66 did (TestCallsFindFreeSlots).
+// Without the search, calls queue or are refused while slots are free elsewhere. In a mesh of
+// hundreds of nodes an entry node sends a few calls a minute to each endpoint, so its load reports
+// are out of date and its choice is close to random. A refusal costs one round trip, a few
+// milliseconds; queueing for a slot costs hundreds. With 300 nodes and 85 of 100 slots busy, 5 of
+// 100 calls queue or are refused, 66 without the search (TestCallsFindFreeSlots).
 const (
-	// looksNear is how many endpoints of the own data centre a call is offered to without
-	// waiting. With a third of them free, four find one for four calls in five.
+	// maxDataCentreOffers limits the offers in the own data centre. If a third of the endpoints
+	// have a free slot, four offers find one for four of five calls.
 	maxDataCentreOffers = 4
-	// looksFar is the same for the region's other data centres, whose links cost more
-	// than time.
+	// maxRegionOffers limits the offers in the region's other data centres, whose links have a
+	// cost beyond latency.
 	maxRegionOffers = 2
-	// nearLeast and farLeast are the shares of endpoints with a free slot below which a
-	// look is not worth its way: calls find hardly any, and only add to the load of
-	// nodes and links.
+	// minDataCentreShare and minRegionShare are the shares of offers that find a free slot below
+	// which the search stops: it would find hardly any and only load nodes and links.
 	minDataCentreShare = 0.1
 	minRegionShare     = 0.3
-	// offerWeight is the weight of one offer in that share.
+	// freeShareWeight is the weight of one offer in the moving average of that share.
 	freeShareWeight = 0.05
-	// startedAtOnce is the longest wait of a call that got a free slot.
+	// maxImmediateWait is the longest wait of a call that counts as having found a free slot.
 	maxImmediateWait = time.Millisecond
-	// lookBodyMost is the longest body in bytes that is sent along to look. A larger one
-	// costs the links more than a wait costs its caller.
+	// maxSearchBody is the largest body in bytes of a call that searches. Sending a larger one
+	// repeatedly costs more on the links than queueing costs the caller.
 	maxSearchBody = 16 << 10
 )
 
-// search is one call's search for a free slot.
+// slotSearch is one call's search for a free slot.
 type slotSearch struct {
-	rejected []string    // the endpoints that had none
-	remote   int         // how many of them are in other data centres
-	scope    SearchScope // the offer under way
+	rejected []string    // endpoints that had none
+	remote   int         // number of them in other data centres
+	scope    SearchScope // of the current offer
 }
 
-// first returns how the next offer looks for a free slot, at first.
+// initialScope returns the scope to try first for the next offer.
 func (s *slotSearch) initialScope(free *freeSlotShare) SearchScope {
 	if free.load() < minDataCentreShare {
 		return NoSearch
@@ -58,7 +55,7 @@
 	return s.widen(SearchDataCentre, free)
 }
 
-// farther returns how it looks where the endpoints that look takes in were all looked at.
+// widen returns the scope to try when no endpoint is left in scope.
 func (s *slotSearch) widen(look SearchScope, free *freeSlotShare) SearchScope {
 	if look == SearchRegion || s.remote >= maxRegionOffers || free.load() < minRegionShare {
 		return NoSearch
@@ -66,14 +63,13 @@
 	return SearchRegion
 }
 
-// failed reports whether a look has found no room: no free slot, or none for a large answer
-// on the link of the endpoint's VM. A look asks nothing of an endpoint, so the next one is
-// asked as if nothing had been.
+// foundNoSlot reports whether an offer was refused because no slot was free, or because the link of
+// the endpoint's VM had no room for a large answer. Such an offer doesn't count as an attempt.
 func (s *slotSearch) foundNoSlot(a *answer) bool {
 	return a.noFreeSlot() || s.scope != NoSearch && a.refusal != nil && a.refusal.Reason == call.ReasonLinkFull
 }
 
-// missed notes that the endpoint looked at has no room.
+// reject records that the endpoint had no free slot.
 func (s *slotSearch) reject(endpoint string) {
 	s.rejected = append(s.rejected, endpoint)
 	if s.scope == SearchRegion {
@@ -81,10 +77,10 @@
 	}
 }
 
-// mayLook reports whether c looks for a free slot before it waits.
+// maySearch reports whether c searches for a free slot before it queues.
 //
-// A keyed call claims its key before it may wait, which is a write to the platform, and
-// a suspect has to go where it is sent.
+// A keyed call doesn't, since each offer would claim its key by a write to the platform. Nor does a
+// suspect request, whose endpoint is fixed.
 func (c *entryCall) maySearch() bool {
 	if c.attempts > 0 || c.isolated || !c.body.reusable() || c.body.length > maxSearchBody {
 		return false
@@ -92,7 +88,7 @@
 	return c.target.Idempotent || first(c.r.Header, call.HeaderKey) == ""
 }
 
-// lookUp picks an endpoint to look at, or returns nil when c is to wait.
+// pickFreeSlot picks an endpoint for the next offer of the search, or returns nil if c is to queue.
 func (e *Entry) pickFreeSlot(now time.Time, c *entryCall) Choice {
 	if !c.maySearch() {
 		return nil
@@ -108,7 +104,7 @@
 	return nil
 }
 
-// noteOffer takes in whether an offer of c found a free slot.
+// recordOffer records whether the endpoint had a free slot for c.
 func (e *Entry) recordOffer(c *entryCall, a *answer) {
 	free := e.freeSlots.of(c.target.Service)
 	switch {
@@ -120,11 +116,10 @@
 	}
 }
 
-// busy reports whether the endpoint had no free slot for a call that looked for one.
+// noFreeSlot reports whether the endpoint refused the call as busy during a search.
 func (a *answer) noFreeSlot() bool { return a.refusal != nil && a.refusal.Reason == call.ReasonBusy }
 
-// freeShares knows, for each service, how often an endpoint that is offered a call has a
-// free slot.
+// freeSlotShares holds, by service, the share of offers that found a free slot.
 type freeSlotShares struct{ byService sync.Map }
 
 func (f *freeSlotShares) of(service string) *freeSlotShare {
@@ -135,8 +130,8 @@
 	return s.(*freeSlotShare)
 }
 
-// FreeSlotShares calls visit with how often an endpoint of each service that was offered a
-// call had a free slot lately, 0 to 1.
+// FreeSlotShares calls visit for each service with the recent share, 0 to 1, of offered calls that
+// found a free slot.
 func (e *Entry) FreeSlotShares(visit func(service string, share float64)) {
 	e.freeSlots.byService.Range(func(service, s any) bool {
 		visit(service.(string), s.(*freeSlotShare).load())
@@ -144,8 +139,8 @@
 	})
 }
 
-// freeShare is a moving mean of offers that found a free slot. It is kept as the bits of
-// the share that found none, so that the zero value is that of an idle service.
+// freeSlotShare is the moving average of offers that found a free slot. It stores the bits of the
+// share that found none, so that the zero value is that of an idle service.
 type freeSlotShare struct{ busyBits atomic.Uint64 }
 
 func (s *freeSlotShare) load() float64 { return 1 - math.Float64frombits(s.busyBits.Load()) }
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -12,7 +12,7 @@
 	"github.com/marlpass/marlpass/internal/retry"
 )
 
-// Matcher finds the class of work of a call. It is immutable.
+// Matcher finds the class of a call. It is immutable.
 type Matcher interface {
 	Match(host, path, method string) (*config.Target, bool)
 }
@@ -20,121 +20,119 @@
 // Program is the configuration in force, as one call sees it.
 type Program struct {
 	Matcher Matcher
-	// Targets finds a class by its name and the service that its call goes to,
-	// for calls that another node matched. It returns nil for none.
+	// Targets finds a class by its name and service, for calls that another node matched. It
+	// returns nil if there is none.
 	Targets interface {
 		Target(name, service string) *config.Target
 	}
 	Version config.Version
-	// MaxBody bounds the body of a call, in bytes; zero means no bound.
+	// MaxBody is the largest request body in bytes; zero means no limit.
 	MaxBody int64
-	// Keys finds the workspaces of callers; nil where callers need no key.
+	// Keys maps API keys to workspaces; nil if callers need no key.
 	Keys *config.Keyring
 }
 
-// Programs gives the program in force. It is called once for each call.
+// Programs returns the program in force. It is called once for each call.
 type Programs interface{ Program() *Program }
 
-// Readiness holds calls back for a moment while their node starts.
+// Readiness delays calls for a moment while the node starts.
 type Readiness interface {
-	// Await returns once the node takes calls, when waiting for that is not worth it any
-	// more, or when ctx ends.
+	// Await returns once the node accepts calls, after a time limit, or when ctx ends.
 	Await(ctx context.Context)
 }
 
-// Admitter bounds the rate of a class at this node. It returns nil to let the
-// call pass. A nil target is that of a call that belongs to no class.
+// Admitter limits the rate of a class at this node. Admit returns nil to admit the call. t is nil for
+// a call that matches no class.
 type Admitter interface {
 	Admit(now time.Time, t *config.Target) *call.Refusal
 }
 
-// Endpoint is a backend server as an entry node reaches it.
+// Endpoint is the address of a backend server, as used by entry nodes.
 type Endpoint struct {
 	ID       string // unique in the mesh
 	VM       string
-	Instance string // names the backend server to its own node
+	Instance string // identifies the backend server at its own node
 	Addr     string // the call address of its node
 }
 
-// Load is what a backend server last said of itself.
+// Load is the last load report of a backend server.
 type Load struct {
 	Busy, Slots int
 	Known       bool
 }
 
-// Report is what an attempt showed of its endpoint.
+// Report is the result of an attempt for the picker.
 type Report struct {
 	Outcome call.Outcome
-	// Failed says that the attempt gave no good answer: a server error, a
-	// cut answer, or none.
+	// Failed is set for a server error, an answer that was cut off, and no answer.
 	Failed bool
-	// Left says that the caller left before there was an answer.
+	// Cancelled is set if the caller left before the answer began.
 	Cancelled bool
 	Refused   call.Reason // why it was not run, or empty
 	Latency   time.Duration
 	Load      Load
-	Bytes     int64 // of the answer's body, if it came whole
+	Bytes     int64 // of the answer's body
 	// LinkWait is how long large answers wait for the endpoint's link.
 	LinkWait time.Duration
 }
 
-// Choice is an endpoint picked for one attempt. Done must be called once, and
-// the Choice not be used after it.
+// Choice is an endpoint picked for one attempt. Done must be called once; the Choice must not be
+// used afterwards.
 type Choice interface {
 	Endpoint() Endpoint
 	Done(now time.Time, r Report)
 }
 
-// SearchScope says which endpoints a call looks at for a free slot.
+// SearchScope is the set of endpoints that a call searches for a free slot.
 type SearchScope uint8
 
-// The ways to look.
+// Search scopes.
 const (
-	NoSearch         SearchScope = iota // the call may wait at the endpoint
-	SearchDataCentre                    // at those of the own data centre
-	SearchRegion                        // at those of the region's others
+	NoSearch         SearchScope = iota // no search: the call may queue at the endpoint
+	SearchDataCentre                    // endpoints of the own data centre
+	SearchRegion                        // endpoints of the region's other data centres
 )
 
-// PickInfo says what a pick is for.
+// PickInfo describes the call that an endpoint is picked for.
 type PickInfo struct {
-	// Tried are the IDs of endpoints that have had the call already. They come last,
-	// or not at all when only they are left.
+	// Tried are the IDs of endpoints that were tried already. They are picked last or not at
+	// all.
 	Tried []string
 	Scope SearchScope
 }
 
-// Pickers picks endpoints. When only those of PickInfo.Tried are left, it gives one of
-// them or the error ErrTriedAll, and to a call that looks always an error.
+// Pickers picks endpoints. If only those of PickInfo.Tried are left, Pick returns one of them or
+// ErrTriedAll; during a search it always returns an error.
 type Pickers interface {
 	Pick(now time.Time, t *config.Target, a PickInfo) (Choice, error)
-	// PickFixed picks by key alone, so that every node picks the same. The
-	// endpoints in avoid are left out as long as there are others.
+	// PickFixed picks by key alone, so that every node picks the same endpoint. The endpoints
+	// in avoid are skipped as long as there are others.
 	PickFixed(now time.Time, t *config.Target, key uint64, avoid []string) (Choice, error)
-	// TriedAll reports whether tried holds every endpoint that takes calls.
+	// TriedAll reports whether tried contains every endpoint that accepts calls.
 	TriedAll(now time.Time, t *config.Target, tried []string) bool
 }
 
-// Retrier decides whether a call is sent again. Called is told of each call
-// once, before its first attempt.
+// Retrier decides whether a call is retried. Called must be called once for each call, before its
+// first attempt.
 type Retrier interface {
 	Called(service string)
 	Decide(service string, in retry.Input) retry.Decision
 }
 
-// Permit is the right to use one slot of a backend server.
+// Permit is the permission to use one slot of a backend server.
 type Permit interface{ Release(r limit.Result) }
 
-// Gates queues calls for the slots of this VM's backend servers. Its error is
-// a *call.Refusal, or that of ctx.
+// Gates limits the concurrency of this VM's backend servers. Acquire queues a call for a slot; its
+// error is a *call.Refusal or the error of ctx.
 type Gates interface {
 	Acquire(ctx context.Context, b Backend, t *config.Target, times limit.AcquireOptions) (Permit, error)
 }
 
-// SlotUse tells how a gate uses its backend server's slots.
+// SlotUse is the slot usage of a backend server.
 type SlotUse struct {
-	Busy    int // calls that run
-	Limit   int // calls that may run, up to the announced slots
-	Waiting int // calls that wait for a slot
+	Busy    int // running calls
+	Limit   int // concurrency limit, at most the announced slots
+	Waiting int // calls queued for a slot
 }
 
 // Backend is a backend server of this VM.
@@ -146,20 +144,20 @@
 	State    membership.BackendState
 }
 
-// Backends knows the backend servers of this VM. An empty instance asks for
-// any of the service.
+// Backends finds the backend servers of this VM. An empty instance matches any instance of the
+// service.
 type Backends interface {
 	Find(service, instance string) (Backend, bool)
 }
 
-// Rollouts bounds what backend servers take while their service's calls move from one
-// version to another, and hears how calls end.
+// Rollouts limits the calls to backend servers while the traffic of their service is shifted from
+// one version to another, and records the results of calls.
 type Rollouts interface {
-	// Admit returns the refusal of a call at a backend server that takes none now, or nil.
+	// Admit returns a refusal if the backend server accepts no calls now, or nil.
 	Admit(now time.Time, instance string) *call.Refusal
-	// Begin does the same for a call that is about to be sent, and counts it.
+	// Begin does the same for a call that is about to be sent, and counts the call.
 	Begin(now time.Time, instance string) *call.Refusal
-	// Ended tells of a call that was sent and wasn't refused.
+	// Ended records the end of a call that was sent and not refused.
 	Ended(now time.Time, instance, class string, took time.Duration, failed bool)
 }
 
@@ -168,11 +166,11 @@
 	Status int
 	Header map[string][]string
 	Body   []byte
-	// TooLarge says that the body was larger than what is kept.
+	// TooLarge is set if the body was too large to store.
 	TooLarge bool
 }
 
-// KeyedCall is a call that must run at most once over all resends.
+// KeyedCall is a call with an idempotency key, which must run at most once over all retries.
 type KeyedCall struct {
 	Target      *config.Target
 	Key         string
@@ -182,14 +180,14 @@
 
 // Claim is the right to run a keyed call.
 type Claim interface {
-	// Started is asked right before the first byte goes to the backend
-	// server. An error means that the claim has lapsed and must not run.
+	// Started must be called right before the first byte is sent to the backend server. An
+	// error means that the claim has expired and the call must not run.
 	Started(ctx context.Context) error
 	// Finish records the answer.
 	Finish(ctx context.Context, s Stored)
 	// Abandon records that the call was not run.
 	Abandon(ctx context.Context)
-	// Lost records that nobody knows whether the call ran.
+	// Lost records that the call may have run and its outcome is unknown.
 	Lost(ctx context.Context)
 }
 
@@ -198,35 +196,33 @@
 
 func (outcomeUnknownError) Error() string { return "proxy: the outcome of this key is not known" }
 
-// ErrOutcomeUnknown means that the first call of a key may have run, and its
-// answer is lost.
+// ErrOutcomeUnknown means that an earlier call with the key may have run and its answer is lost.
 var ErrOutcomeUnknown error = outcomeUnknownError{}
 
-// Deduplicator keeps keyed calls from running twice. Begin returns a claim to run
-// the call, or the stored answer of an earlier one, or an error: a
-// *call.Refusal, ErrOutcomeUnknown, or that of ctx.
+// Deduplicator keeps keyed calls from running twice. Begin returns a claim to run the call, the
+// stored answer of an earlier call, or an error: a *call.Refusal, ErrOutcomeUnknown or the error of
+// ctx.
 type Deduplicator interface {
 	Begin(ctx context.Context, k KeyedCall) (Claim, *Stored, error)
 }
 
-// Suspects keeps requests that crash backend servers away from them. The first
-// five methods are asked at the entry node, the others at the destination.
+// Suspects quarantines requests that are suspected of crashing backend servers. The first five
+// methods are called at the entry node, the others at the destination.
 type Suspects interface {
-	// Blocked returns the refusal of a request that must not run, or nil.
+	// Blocked returns a refusal if the request must not run, or nil.
 	Blocked(now time.Time, fp quarantine.Fingerprint) *call.Refusal
-	// Isolated reports whether the request must run at one place at a time.
+	// Isolated reports whether the request must run at one endpoint at a time.
 	Isolated(now time.Time, fp quarantine.Fingerprint) bool
-	// CrashedAt returns the endpoints that crashed with the request in flight.
-	// An isolated run must not choose them.
+	// CrashedAt returns the endpoints that crashed with the request in flight. An isolated
+	// request must not run there.
 	CrashedAt(now time.Time, fp quarantine.Fingerprint) []string
 	Broke(now time.Time, fp quarantine.Fingerprint, endpoint string)
 	Answered(now time.Time, fp quarantine.Fingerprint)
 
-	// Pinned returns the refusal of a suspect that has to run at another
-	// endpoint than b, or nil.
+	// Pinned returns a refusal if the request is a suspect that must run at another endpoint
+	// than b, or nil.
 	Pinned(now time.Time, b Backend, fp quarantine.Fingerprint) *call.Refusal
-	// Start notes that the request is about to run. Its error is a
-	// *call.Refusal.
+	// Start records that the request is about to run. Its error is a *call.Refusal.
 	Start(now time.Time, b Backend, fp quarantine.Fingerprint, what quarantine.Request) (quarantine.Token, error)
 	Done(now time.Time, b Backend, tok quarantine.Token, end quarantine.RunResult)
 }
--- a/internal/proxy/returns.go
+++ b/internal/proxy/returns.go
@@ -8,43 +8,43 @@
 	"github.com/marlpass/marlpass/internal/quarantine"
 )
 
-// returns knows the callers who come back after a refusal, and when each first asked.
+// returningCallers recognises callers that retry after a refusal, and holds the time of their first
+// attempt.
 //
-// A caller that comes back sends the same request, under a new id, to the same node
-// as a rule. Without this the time that it has waited would be lost with each refusal,
-// and its call would pass for one that can still be answered in time.
+// A caller usually retries with the same request, under a new ID, at the same node. Without this
+// table the time it has waited would be lost with each refusal, and its call would count as one that
+// can still be answered in time.
 //
-// It holds one refusal for each of its places, the newest. Two requests of the same
-// content, or the same place, are taken for one another at worst: one of them is then
-// believed to have waited when it has not. It takes no lock.
+// It is a lock-free hash table that keeps the newest refusal per cell. If two callers send identical
+// requests, one may be credited with the other's waiting time.
 type returningCallers struct {
 	table   [returnTableSize]atomic.Pointer[refusedCall]
 	classes sync.Map // name to *classReturns
 }
 
 const (
-	// returnPlaces holds the refusals of some seconds: of 500 refusals a second, each
-	// with a place of its own by chance, 8 in 10 are still there 2 s later.
+	// returnTableSize is enough for a few seconds of refusals: at 500 refusals a second, 8 of 10
+	// are still in the table after 2 s.
 	returnTableSize = 4096
-	// returnSlack is how much later than told a caller may come back.
+	// returnGrace is how much later than Retry-After a caller may retry.
 	returnGrace = time.Second
 )
 
-// refusedCall is one refusal whose caller may come back.
+// refusedCall is a refusal whose caller may retry.
 type refusedCall struct {
 	fp           quarantine.Fingerprint
-	firstAttempt time.Time // when the caller first asked
-	returnBy     time.Time // after which nobody comes back
+	firstAttempt time.Time // of the caller
+	returnBy     time.Time // after which no retry is expected
 	returned     atomic.Bool
 }
 
-// refused notes that c was refused and its caller told to come back after a while.
+// recordRefusal records that c was refused and its caller told to retry after the given time.
 func (t *returningCallers) recordRefusal(now time.Time, c *entryCall, after time.Duration) {
 	if c.fp == (quarantine.Fingerprint{}) {
-		return // refused before it was read
+		return // refused before the body was read
 	}
 	r := &refusedCall{fp: c.fp, firstAttempt: c.firstAttempt, returnBy: now.Add(2*after + returnGrace)}
-	// A deadline before the class's timeout is the caller's own: it has left by then.
+	// A deadline shorter than the class's timeout is the caller's own: it doesn't retry later.
 	own := c.deadline.Sub(c.start) < c.target.Timeout()
 	if own && c.deadline.Before(r.returnBy) {
 		r.returnBy = c.deadline
@@ -53,7 +53,7 @@
 	t.class(c.target.Name).add(now, r)
 }
 
-// since returns when the caller of a request that comes in now first asked.
+// firstAttempt returns when the caller of a request received now first sent it.
 func (t *returningCallers) firstAttempt(now time.Time, fp quarantine.Fingerprint) time.Time {
 	place := t.cell(fp)
 	r := place.Load()
@@ -68,9 +68,9 @@
 	return &t.table[fp.Key()%returnTableSize]
 }
 
-// never reports whether callers of the class don't come back after a refusal. Calls
-// that backend servers make for a call of their own are such: refused, they fail the
-// work that was done for it, and a caller that waits for it.
+// oneShot reports whether callers of the class don't retry after a refusal. That holds for calls
+// that backend servers make while serving another call: a refusal fails that call and wastes the
+// work done for it.
 func (t *returningCallers) oneShot(class string) bool { return t.class(class).oneShot.Load() }
 
 func (t *returningCallers) class(name string) *classReturns {
@@ -82,25 +82,25 @@
 }
 
 const (
-	// returnsSeen is how many refusals of a class are looked at.
+	// returnsWindow is the number of recent refusals of a class that are considered.
 	returnsWindow = 32
-	// returnsLeast is how many of them must be so old that nobody comes back any more
-	// before they tell something.
+	// minExpiredReturns is how many of them must be decided, by a retry or by returnBy, before
+	// the class is rated.
 	minExpiredReturns = 6
-	// returnsFew is the share of returns below which callers count as never coming
-	// back. Of those who do, some leave before; a class where nine in ten leave is as
-	// good as lost when it is refused.
+	// minReturnShare is the share of retries below which a class counts as one-shot. Callers
+	// that retry in principle may leave too; if nine of ten do, a refused call is as good as
+	// lost.
 	minReturnShare = 0.1
 )
 
-// classReturns are the last refusals of one class.
+// classReturns holds the recent refusals of one class.
 type classReturns struct {
 	recent  [returnsWindow]atomic.Pointer[refusedCall]
 	next    atomic.Uint64
 	oneShot atomic.Bool
 }
 
-// add takes in a refusal, and judges the class by those that are old enough.
+// add records a refusal and rates the class by the refusals that are decided.
 func (c *classReturns) add(now time.Time, r *refusedCall) {
 	c.recent[c.next.Add(1)%returnsWindow].Store(r)
 	old, back := 0, 0
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -14,7 +14,7 @@
 func (e *Entry) attempt(ctx context.Context, now time.Time, c *entryCall, ep Endpoint) answer {
 	header := c.r.Header
 	if c.attempts > 1 || len(c.search.rejected) > 0 {
-		// The transport may still be reading the header of the attempt before.
+		// The transport may still be reading the header of the previous attempt.
 		header = header.Clone()
 	}
 	if c.attempts > 1 || c.parentRetried {
@@ -39,7 +39,7 @@
 	if h.oneShot {
 		header[headerOnce] = onceValue
 	}
-	delete(header, headerNoWait) // of the offer before
+	delete(header, headerNoWait) // of the previous offer
 	if h.noWait {
 		header[headerNoWait] = noWaitValue
 	}
@@ -53,17 +53,16 @@
 	return c.correctExpired(now, h.left, readNodeResponse(a))
 }
 
-// ofPart corrects a refusal that says that the deadline passed, when only the
-// attempt's part of the time has.
+// correctExpired turns a refusal as expired into one as overloaded if only the attempt's part of the
+// time has passed, not the call's deadline.
 //
-// An idempotent call waits in the queue of an endpoint whose slots are held by
-// calls on silent connections. After half of its time the endpoint drops it as
-// expired. The deadline of the call itself is still ahead: the endpoint had no
-// room in time, and another may have.
+// This happens to an idempotent call that queues at an endpoint whose slots are held by calls on
+// silent connections: the endpoint drops it as expired after half of the call's time. Another
+// endpoint may still have room.
 //
-// An attempt that had all of the time is left as it is. Its destination drops it
-// a moment before the deadline, so that the refusal still arrives; another
-// attempt in that moment could only end as one that may have run.
+// An attempt that had all of the remaining time is left unchanged. Its destination drops it shortly
+// before the deadline so that the refusal still arrives; a retry at that point could only end with
+// an unknown outcome.
 func (c *entryCall) correctExpired(sent time.Time, left time.Duration, a answer) answer {
 	part := sent.Add(left).Before(c.deadline)
 	if part && a.refusal != nil && a.refusal.Reason == call.ReasonExpired {
@@ -72,14 +71,12 @@
 	return a
 }
 
-// patience is how long an attempt may take to begin its answer. An idempotent
-// call keeps half of its time for another attempt, so that one connection that
-// went silent does not cost its caller the answer.
+// attemptTimeout returns how long an attempt may take until its answer begins. An idempotent call
+// reserves half of its time for another attempt, so that it survives one silent connection.
 //
-// The first attempt has half as much again as the answer time that its class
-// aims at. With less, calls that wait their turn at a busy backend server, as
-// their class allows, would be cut off when they are about to be answered: the
-// work is lost, done again elsewhere, and the endpoint counted as failing.
+// The first attempt gets at least 1.5 times the latency target of its class. With less, calls that
+// queue at a busy backend server for as long as their class allows would be cut off shortly before
+// their answer: the work is lost and repeated elsewhere, and the endpoint counts as failing.
 func (e *Entry) attemptTimeout(c *entryCall, now time.Time) time.Duration {
 	left := c.deadline.Sub(now)
 	if e.NoAttemptTimeout {
@@ -91,7 +88,7 @@
 	return left
 }
 
-// readNode takes from a node's answer what is meant for this node.
+// readNodeResponse extracts and removes the headers of a node's answer that are meant for this node.
 func readNodeResponse(a answer) answer {
 	if a.resp == nil {
 		return a
@@ -113,8 +110,7 @@
 	return a
 }
 
-// discard reads the short body of a problem document, which keeps the
-// connection for the next call.
+// discard reads the short body of a problem document, so that the connection can be reused.
 func discard(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, maxProblemBody)
 	resp.Body.Close()
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -9,9 +9,8 @@
 	"time"
 )
 
-// Bounds on connections. The idle bound is shorter than the one of a node's
-// own server (see ServerIdleTimeout), so that a connection is seldom closed by the
-// far end in the moment it is used.
+// Limits of connections. IdleTimeout is shorter than ServerIdleTimeout, that of a node's own server,
+// so that the peer rarely closes a connection just as it is used.
 const (
 	DialTimeout       = time.Second
 	IdleTimeout       = 30 * time.Second
@@ -26,18 +25,17 @@
 	transportBuffer   = 8 << 10
 )
 
-// expectContinue bounds the wait of a streaming body for the destination's word, in
-// effect by the attempt's own bound alone.
+// expectContinueTimeout limits how long a streaming body waits for "100 Continue". It is so long that
+// only the attempt's own timeout takes effect.
 //
-// Destinations always say whether they want the body, some after the call has waited
-// for a slot. A body sent unasked before that could not be sent to another endpoint,
-// and the refusal that follows it is lost whenever the far end closes its connection
-// over the unread bytes: the caller would be told "may have run" of an upload that
-// reached no backend server. Backend servers are sent no Expect.
+// Destinations always send "100 Continue" or a refusal, some only after the call has queued for a
+// slot. A body sent earlier could not be sent to another endpoint, and the refusal is lost if the
+// peer closes the connection with unread bytes: the caller would get "may have run" for an upload
+// that reached no backend server. Backend servers are sent no Expect.
 const expectContinueTimeout = maxDeadline
 
-// Upstreams keeps one pool of connections for each node, or for each address
-// of a backend server, so that all connections to it can be retired together.
+// Upstreams keeps one connection pool for each node, or for each address of a backend server, so that
+// all its idle connections can be closed together.
 type Upstreams struct {
 	mu     sync.Mutex // serialises writers
 	byName sync.Map   // string to *upstream
@@ -45,35 +43,34 @@
 	handshake   Handshake
 	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
 	idleTimeout time.Duration // how long an idle connection is kept
-	// dialBound is how long a new connection may take.
+	// dialTimeout limits the time to establish a connection.
 	dialTimeout time.Duration
 }
 
-// Handshake turns a new connection into one on which vm itself has been proved to
-// answer. It returns an error, and has sent no byte of a call, otherwise.
+// Handshake returns a connection over raw whose peer is authenticated as vm, or an error. It sends no
+// byte of a call.
 type Handshake func(ctx context.Context, raw net.Conn, vm string) (net.Conn, error)
 
 // upstream is the pool of one node or address.
 type upstream struct {
 	addr      string
 	transport *http.Transport
-	// used is when a call last took the pool, in Unix seconds.
+	// lastUsed is when a call last used the pool, in Unix seconds.
 	lastUsed atomic.Int64
 }
 
-// ConnTimeouts says how the kernel finds out that the far end of a connection is gone.
+// ConnTimeouts configures how dead connections are detected, and the life of connections.
 type ConnTimeouts struct {
 	KeepAliveIdle, KeepAliveInterval time.Duration // before the first probe, and between probes
-	KeepAliveCount                   int           // probes without an answer that end the connection
-	UnackedTimeout                   time.Duration // bytes without an acknowledgement that end it
+	KeepAliveCount                   int           // unanswered probes that end the connection
+	UnackedTimeout                   time.Duration // age of unacknowledged data that ends it
 	IdleTimeout                      time.Duration // how long an idle connection is kept
-	DialTimeout                      time.Duration // until a new connection stands
+	DialTimeout                      time.Duration // to establish a connection
 }
 
-// SlowDetection is for meshes whose calls are also given up when an answer takes
-// too long; FastDetection where nothing else ends an attempt on a connection that
-// went silent. The kernel counts keep-alive in whole seconds; swift probing ends a
-// connection within 2 s, and survives a lost packet.
+// SlowDetection is for meshes with attempt timeouts; FastDetection is for meshes where nothing else
+// ends an attempt on a silent connection. The kernel counts keep-alive in whole seconds;
+// FastDetection ends a connection within 2 s and tolerates a lost packet.
 var (
 	SlowDetection = ConnTimeouts{
 		KeepAliveIdle: keepAliveIdle, KeepAliveInterval: keepAliveInterval, KeepAliveCount: keepAliveCount, UnackedTimeout: unackedTimeout, IdleTimeout: IdleTimeout, DialTimeout: DialTimeout,
@@ -81,17 +78,16 @@
 	FastDetection = ConnTimeouts{KeepAliveIdle: time.Second, KeepAliveInterval: time.Second, KeepAliveCount: 2, UnackedTimeout: 1500 * time.Millisecond, IdleTimeout: fastIdleTimeout, DialTimeout: fastDialTimeout}
 )
 
-// swiftDial is some hundred times the way between two data centres of one region.
-// A VM behind a cut doesn't answer at all, and a call that waits a second for it is
-// late; one whose first packet was lost goes to another endpoint as not run.
+// fastDialTimeout is about a hundred times the latency between two data centres of a region. A VM
+// behind a network partition doesn't answer at all, and a call that waits a second for it is late. A
+// call whose first packet was lost goes to another endpoint as not run.
 const fastDialTimeout = 300 * time.Millisecond
 
-// swiftKept is half of the ten seconds after which the users' backend servers close
-// an idle connection. A booking sent in that moment is reset, and nobody can tell
-// whether it ran.
+// fastIdleTimeout is half of the 10 s after which the users' backend servers close an idle
+// connection. A call sent at that moment is reset, and its outcome is unknown.
 const fastIdleTimeout = 5 * time.Second
 
-// NewUpstreams returns empty pools. They open connections over TCP.
+// NewUpstreams returns empty pools that open TCP connections with the timeouts t.
 func NewUpstreams(p ConnTimeouts) *Upstreams {
 	u := NewUpstreamsWithDialer(p.dialer().DialContext)
 	u.idleTimeout, u.dialTimeout = p.IdleTimeout, p.DialTimeout
@@ -105,7 +101,7 @@
 	}
 }
 
-// NewUpstreamsWithDialer returns empty pools that open connections by dial.
+// NewUpstreamsWithDialer returns empty pools that open connections with dial.
 func NewUpstreamsWithDialer(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Upstreams {
 	u := &Upstreams{idleTimeout: IdleTimeout, dialTimeout: DialTimeout}
 	u.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -116,7 +112,7 @@
 	return u
 }
 
-// WithHandshake makes u ask s for every connection to another node. It must be called
+// WithHandshake sets the handshake for connections to other nodes and returns u. It must be called
 // before u is used.
 func (u *Upstreams) WithHandshake(s Handshake) *Upstreams {
 	u.handshake = s
@@ -126,9 +122,8 @@
 // get returns the pool of the node vm at addr, or of the backend server at addr
 // when vm is empty.
 //
-// Pools of nodes are kept by VM. When a VM goes and another comes under its
-// address, a pool kept by address would lead calls for the new VM onto
-// connections that were proved to be the old one's, or the other way about.
+// Pools of nodes are keyed by VM. If they were keyed by address and a VM was replaced by another at
+// the same address, calls for one could use connections authenticated for the other.
 func (u *Upstreams) get(now time.Time, addr, vm string) *upstream {
 	name := poolName(addr, vm)
 	if p, ok := u.byName.Load(name); ok {
@@ -142,8 +137,8 @@
 	return u.add(now, addr, vm)
 }
 
-// nameOf returns the name of a pool. No VM's ID contains a colon, and every
-// address does.
+// poolName returns the key of a pool. The two kinds can't collide: every address contains a colon, and
+// no VM ID does.
 func poolName(addr, vm string) string {
 	if vm != "" {
 		return vm
@@ -160,7 +155,7 @@
 		if up.addr == addr {
 			return up
 		}
-		up.closeIdle() // the VM came back under another address
+		up.closeIdle() // the VM has a new address
 	}
 	u.dropUnused(now)
 	up := &upstream{addr: addr, transport: u.newTransport(vm)}
@@ -169,8 +164,8 @@
 	return up
 }
 
-// dropUnused forgets pools that no call has used for a while: VMs are replaced
-// all day.
+// dropUnused removes pools that no call has used for maxUpstreamUnused, since VMs are replaced
+// continually.
 func (u *Upstreams) dropUnused(now time.Time) {
 	u.byName.Range(func(name, p any) bool {
 		up := p.(*upstream)
@@ -192,7 +187,7 @@
 			}
 			return u.connect(ctx, network, addr, vm)
 		},
-		// The answer is passed on as it is.
+		// The answer is relayed unchanged.
 		DisableCompression:     true,
 		MaxIdleConns:           maxIdlePerAddr,
 		MaxIdleConnsPerHost:    maxIdlePerAddr,
@@ -204,9 +199,9 @@
 	}
 }
 
-// open dials and, between nodes, proves who answers. The transport takes the
-// connection for a plain one, which keeps it to HTTP/1.1, and conn counts what
-// the call itself writes, not what the handshake did.
+// connect dials and, between nodes, authenticates the peer. The transport treats the connection as a
+// plain one, which keeps it on HTTP/1.1, and conn tracks the writes of the call but not those of the
+// handshake.
 func (u *Upstreams) connect(ctx context.Context, network, addr, vm string) (net.Conn, error) {
 	raw, err := u.dial(ctx, network, addr)
 	if err != nil {
@@ -225,10 +220,9 @@
 	return &conn{Conn: c, raw: raw}, nil
 }
 
-// retire closes the idle connections of a pool whose address let a call wait
-// past its bound. What cut off one connection has often cut off those opened
-// with it, and the next calls would each find that out for themselves. Calls
-// that are running keep their connections; new ones dial. Nothing is probed.
+// closeIdle closes the idle connections of a pool after a call to its address timed out. Whatever
+// broke one connection has often broken the others, and each later call would time out on one of
+// them. Running calls keep their connections; new ones dial.
 func (up *upstream) closeIdle() { up.transport.CloseIdleConnections() }
 
 // Close closes all idle connections.
