--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -5,17 +5,15 @@
 	"time"
 )
 
-// An owner's booking runs well and is cut off at once: its caller is told that
-// no answer came within the deadline. An attempt before it, whose memory it
-// uses, had ended in the moment in which its bound passed. That bound's timer
-// still ran, and met the booking: the attempt was given back since the timer of
-// a yet earlier answer, of the same memory, had been stopped.
-func TestAttemptIsNotUsedAgainWhileItsTimerRuns(t *testing.T) {
+// Guards against a call that times out at once because it reuses a pooled attempt whose timer still
+// fires for the previous call. A stale timerStopped of an earlier answer had marked the attempt as
+// safe to pool.
+func TestAttemptIsNotPooledWhileTimerRuns(t *testing.T) {
 	up := NewUpstreams(SlowDetection).get(time.Now(), "127.0.0.1:1", "")
 	for range 100 {
 		answered := newAttempt(up, nil, time.Hour)
 		answered.timer.Stop()
-		answered.answer.timerStopped = true // as send and Read leave it
+		answered.answer.timerStopped = true // as left by send and Read
 		answered.finish()
 		a := newAttempt(up, nil, time.Hour)
 		if a.answer.timerStopped {
--- a/internal/proxy/patience_test.go
+++ b/internal/proxy/attempt_timeout_test.go
@@ -10,11 +10,10 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// Archive pulls aim at 2.5 s and may take 4 s. Under twice the load they wait
-// for a slot as their class allows, and the entry node cut them off after 2 s,
-// half of their time, when they were running: callers saw 504, the slot's work
-// was lost and the endpoint counted as failing.
-func TestFirstAttemptOutlastsTheAnswerTimeOfItsClass(t *testing.T) {
+// Guards against an attempt timeout below the latency target of the class: under overload, calls with
+// a target of 2.5 s and a deadline of 4 s were cut off after 2 s while running, callers got 504 and the
+// endpoint counted as failing.
+func TestFirstAttemptTimeoutCoversLatencyTarget(t *testing.T) {
 	now := time.Now()
 	for _, tt := range []struct {
 		name       string
@@ -39,10 +38,9 @@
 	}
 }
 
-// Callers of a slow lookup gave up, or its time passed, at two endpoints. The
-// entry node took both for crashes and refused the lookup to everybody for three
-// seconds as quarantined, though no backend server had crashed.
-func TestOnlyBrokenConnectionsAreHeldAgainstARequest(t *testing.T) {
+// Guards against cancellations and timeouts that count as crashes: a slow request was quarantined for
+// three seconds for all callers although no backend server had crashed.
+func TestOnlyBrokenConnectionsCountAsCrashes(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		a    answer
@@ -50,9 +48,9 @@
 	}{
 		{"broken here", answer{err: io.ErrUnexpectedEOF}, true},
 		{"broken at the destination", answer{err: &unknownError{unknownLost}}, true},
-		{"waited here", answer{err: errAnswerTimeout, expired: true}, false},
-		{"waited at the destination", answer{err: &unknownError{unknownWaited}}, false},
-		{"broken by the bound", answer{err: io.ErrUnexpectedEOF, expired: true}, false},
+		{"timed out here", answer{err: errAnswerTimeout, expired: true}, false},
+		{"timed out at the destination", answer{err: &unknownError{unknownWaited}}, false},
+		{"broken by the timeout", answer{err: io.ErrUnexpectedEOF, expired: true}, false},
 		{"caller left", answer{err: context.Canceled}, false},
 		{"key", answer{err: &unknownError{unknownKey}}, false},
 		{"refused", answer{refusal: refuse("overloaded", 0, "")}, false},
@@ -64,10 +62,9 @@
 	}
 }
 
-// Bookings waited for a slot until their deadline. Their entry nodes gave up in
-// the same moment and told the callers that the bookings may have run, which
-// none had, so that none could be sent again.
-func TestWaitEndsInTimeToTell(t *testing.T) {
+// Guards against calls that queue until their deadline: their entry nodes time out at the same moment
+// and answer "may have run" for calls that never ran and could have been retried.
+func TestQueueingEndsBeforeDeadline(t *testing.T) {
 	now := time.Now()
 	for _, tt := range []struct{ left, want time.Duration }{
 		{time.Second, 980 * time.Millisecond},
@@ -76,7 +73,7 @@
 		{0, 0},
 	} {
 		if got := startBy(now, now.Add(tt.left)).Sub(now); got != tt.want {
-			t.Errorf("%s left: waits %s, want %s", tt.left, got, tt.want)
+			t.Errorf("%s left: queues for %s, want %s", tt.left, got, tt.want)
 		}
 	}
 }
--- a/internal/proxy/conn_test.go
+++ b/internal/proxy/conn_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// sink counts what is written to it.
+// sink counts the bytes written to it and records Close.
 type sink struct {
 	net.Conn
 	bytes  atomic.Int64
@@ -26,65 +26,65 @@
 	return nil
 }
 
-// An attempt fails at the moment when the transport's writer begins to write.
-// Whichever comes first, a call that is said not to have been sent must not
-// leave a byte on the connection.
-func TestBarAndWriteRace(t *testing.T) {
+// Guards against a call that is reported as not run although the transport's writer, racing with the
+// failure of the attempt, still writes it.
+func TestBlockWritesRacesWithWrite(t *testing.T) {
 	for range 2000 {
 		s := new(sink)
 		c := &conn{Conn: s}
-		ticket := c.assign(nil)
-		var barred bool
+		generation := c.assign(nil)
+		var blocked bool
 		var wg sync.WaitGroup
-		wg.Go(func() { barred = c.blockWrites(ticket) })
+		wg.Go(func() { blocked = c.blockWrites(generation) })
 		wg.Go(func() { c.Write([]byte("request")) })
 		wg.Wait()
 		c.Write([]byte("more"))
-		if barred && s.bytes.Load() > 0 {
-			t.Fatal("barred, and written to")
+		if blocked && s.bytes.Load() > 0 {
+			t.Fatal("writes blocked, but bytes written")
 		}
-		if !barred && s.bytes.Load() == 0 {
-			t.Fatal("not barred, and not written to")
+		if !blocked && s.bytes.Load() == 0 {
+			t.Fatal("writes not blocked, but nothing written")
 		}
 	}
 }
 
-// Random steps of calls, writes, bars and kills in any order, each with a
-// ticket that may be out of date: a bar that held means that nothing was
-// written for its call, and an old ticket has no power over a later call.
-func TestConnSteps(t *testing.T) {
+// Assigns, writes, blocks and closes in random order, with generations that may be outdated: if
+// blockWrites returned true, nothing was written for that call, and an outdated generation has no
+// effect on a later call.
+func TestConnStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := new(sink)
 		c := &conn{Conn: s}
-		tickets := []uint64{c.assign(nil)}
+		generations := []uint64{c.assign(nil)}
 		written := map[uint64]bool{}
-		said := map[uint64]bool{}
+		blocked := map[uint64]bool{}
+		// The names of the actions keep their alphabetical order, on which the draws of a seed depend.
 		t.Repeat(map[string]func(*rapid.T){
-			"begin": func(*rapid.T) { tickets = append(tickets, c.assign(nil)) },
+			"call": func(*rapid.T) { generations = append(generations, c.assign(nil)) },
 			"write": func(*rapid.T) {
 				if _, err := c.Write([]byte("x")); err == nil {
-					written[tickets[len(tickets)-1]] = true
+					written[generations[len(generations)-1]] = true
 				}
 			},
-			"bar": func(t *rapid.T) {
-				ticket := rapid.SampledFrom(tickets).Draw(t, "ticket")
-				if c.blockWrites(ticket) {
-					said[ticket] = true
+			"block": func(t *rapid.T) {
+				generation := rapid.SampledFrom(generations).Draw(t, "generation")
+				if c.blockWrites(generation) {
+					blocked[generation] = true
 				}
 			},
-			"kill": func(t *rapid.T) {
-				ticket := rapid.SampledFrom(tickets).Draw(t, "ticket")
-				current := ticket == tickets[len(tickets)-1]
+			"close": func(t *rapid.T) {
+				generation := rapid.SampledFrom(generations).Draw(t, "generation")
+				current := generation == generations[len(generations)-1]
 				before := s.closed.Load()
-				c.closeFor(ticket)
+				c.closeFor(generation)
 				if !current && !before && s.closed.Load() {
-					t.Fatal("an old ticket closed the connection")
+					t.Fatal("an outdated generation closed the connection")
 				}
 			},
 			"": func(t *rapid.T) {
-				for ticket := range said {
-					if written[ticket] {
-						t.Fatal("said to be unsent, and written")
+				for generation := range blocked {
+					if written[generation] {
+						t.Fatal("reported as not written, but written")
 					}
 				}
 			},
--- a/internal/proxy/entry_log.go
+++ b/internal/proxy/entry_log.go
@@ -11,7 +11,8 @@
 	"github.com/marlpass/marlpass/internal/retry"
 )
 
-// logLine begins a log line about c with the common fields, or returns nil if the decision isn't logged.
+// logLine begins a log line about c with the common fields. It returns nil if the decision isn't
+// logged.
 func (e *Entry) logLine(now time.Time, k decisions.Kind, c *entryCall) *zerolog.Event {
 	l := e.Decisions.Line(now, k, c.id)
 	if l == nil {
--- a/internal/proxy/entry_test.go
+++ b/internal/proxy/entry_test.go
@@ -40,7 +40,7 @@
 				t.Fatalf("got %q %q", resp.Header.Get("Content-Type"), body)
 			}
 			if m.runs.Load() != 0 {
-				t.Fatal("it was run")
+				t.Fatal("the call was run")
 			}
 		})
 	}
@@ -60,8 +60,8 @@
 	}
 }
 
-// The caller's own Marlpass headers are not believed: one that could set the
-// hop would reach services that its path does not match.
+// Guards against Marlpass headers set by a caller: with its own hop header it could reach services
+// that its path doesn't match.
 func TestCallerCannotSetOwnHeaders(t *testing.T) {
 	seen := make(chan http.Header, 1)
 	m := newMesh(t, bookings(), func(_ http.ResponseWriter, r *http.Request) { seen <- r.Header })
@@ -98,13 +98,13 @@
 	}
 }
 
-// On the VM that holds the endpoint the call goes from entry to destination in
-// process, with the same rules.
+// A call to an endpoint on the entry node's own VM goes to the destination in process, with the same
+// rules as a remote call.
 func TestLocalCall(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, r *http.Request) { io.Copy(w, r.Body) })
 	m.entry.Self, m.entry.Local = "vm0", m.dest[0]
 	m.useOnly(0)
-	m.nodes[0].Close() // no socket leads to it
+	m.nodes[0].Close() // unreachable over a socket
 	resp, body, err := m.call("POST", "/", "slip 3")
 	if err != nil || body != "slip 3" || resp.Header.Get(call.HeaderLoad) != "" {
 		t.Fatalf("got %v %q %v", resp, body, err)
@@ -119,9 +119,8 @@
 	}
 }
 
-// An archive ends in two check sums, of which only the longer name was
-// announced. The other name is a part of it, was taken for announced, and never
-// reached the exporter.
+// Guards against a dropped trailer that isn't declared in the Trailer header: its name is a prefix of a
+// declared one, and a substring match took it for declared.
 func TestTrailerWhoseNameIsPartOfAnother(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Trailer", "X-Sum-Full")
--- a/internal/proxy/headers_test.go
+++ b/internal/proxy/headers_test.go
@@ -125,8 +125,8 @@
 	})
 }
 
-// A caller that states a time of -9223372036855 ms was granted 292 years: the
-// product overflowed, and its calls held their places until the process ended.
+// Guards against overflow: a deadline of -9223372036855 ms was converted to 292 years, and the calls
+// were held until the process ended.
 func FuzzTimeLeft(f *testing.F) {
 	for _, s := range []string{"1500", "0", "-1", "3600001", "-9223372036855", "9223372036854775807", "x"} {
 		f.Add(s)
@@ -137,7 +137,7 @@
 			t.Fatalf("%q: granted %s", s, left)
 		}
 		if ok && strings.HasPrefix(s, "-") && left > 0 {
-			t.Fatalf("%q: a time that has passed was granted %s", s, left)
+			t.Fatalf("%q: a negative deadline was granted %s", s, left)
 		}
 	})
 }
@@ -153,8 +153,8 @@
 	})
 }
 
-// Nobody but notrun.go may write the header that says "not run", or make a
-// refusal: a caller sends a booking again on its word.
+// Only notrun.go may set the not-run header or create a refusal, since callers retry calls that must
+// run at most once because of it.
 func TestNotRunIsSetInOnePlace(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) == 0 {
--- a/internal/proxy/key_fuzz_test.go
+++ b/internal/proxy/key_fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Guards against a key that reaches a backend server, whatever the caller's header looks like:
-// credentials of the scheme are taken out and hold no space around them.
+// Guards against an API key that reaches a backend server because the caller's header is malformed:
+// credentials of the scheme are removed and returned without surrounding spaces.
 func FuzzTakeCredentials(f *testing.F) {
 	for _, value := range []string{"Bearer key", "bearer  key ", "Bearer", "Basic key", "", " Bearer key", "Bearer\tkey", "BEARER a b"} {
 		f.Add(value)
--- a/internal/proxy/key_test.go
+++ b/internal/proxy/key_test.go
@@ -12,22 +12,24 @@
 )
 
 const (
-	keyOfHarbour = "harbour-key"
-	workspaceOne = "harbour"
+	harbourKey       = "harbour-key"
+	harbourWorkspace = "harbour"
 )
 
-// keyed is a program with a single class and one workspace.
-type keyed struct {
+// keyedProgram is a program with one class and one workspace.
+type keyedProgram struct {
 	one
 	keys *config.Keyring
 }
 
-func (k keyed) Program() *Program { return &Program{Matcher: k.one, Targets: k.one, Keys: k.keys} }
+func (k keyedProgram) Program() *Program {
+	return &Program{Matcher: k.one, Targets: k.one, Keys: k.keys}
+}
 
 func keyring(t *testing.T) *config.Keyring {
 	t.Helper()
 	s, err := config.New(1, config.Hash{}, []config.Object{config.EncodeWorkspace(config.Workspace{
-		Name: workspaceOne, Team: "yard", Priority: 8, Keys: []config.KeyDigest{config.DigestOf(keyOfHarbour)},
+		Name: harbourWorkspace, Team: "yard", Priority: 8, Keys: []config.KeyDigest{config.DigestOf(harbourKey)},
 	})})
 	if err != nil {
 		t.Fatal(err)
@@ -35,44 +37,44 @@
 	return config.NewKeyring(s)
 }
 
-// Guards the priority of workspaces: the gate at the destination, on another VM, has to learn on
-// whose behalf a call is made.
-func TestGateLearnsTheWorkspace(t *testing.T) {
+// Guards the priority of workspaces: the gate at the destination, on another VM, must receive the
+// workspace of the call.
+func TestGateReceivesWorkspace(t *testing.T) {
 	m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) {})
 	m.useOnly(0)
-	seen := make(gateOf, 2)
+	seen := make(recordingGate, 2)
 	m.dest[0].Gates = seen
-	m.dest[0].Programs = keyed{one{bookings()}, keyring(t)}
+	m.dest[0].Programs = keyedProgram{one{bookings()}, keyring(t)}
 	m.entry.Programs = m.dest[0].Programs
 	m.entry.Retrier = RetryUpTo(1)
-	if _, _, err := m.call("POST", "/launch", "x", headerAuthorization, "Bearer "+keyOfHarbour); err != nil {
+	if _, _, err := m.call("POST", "/launch", "x", headerAuthorization, "Bearer "+harbourKey); err != nil {
 		t.Fatal(err)
 	}
-	want := limit.Caller{Workspace: workspaceOne, Priority: 8}
+	want := limit.Caller{Workspace: harbourWorkspace, Priority: 8}
 	if got := (<-seen).Caller; got != want {
-		t.Errorf("the gate was told %+v, want %+v", got, want)
+		t.Errorf("the gate received %+v, want %+v", got, want)
 	}
 }
 
-// quotas is a Workspaces that refuses as told.
-type quotas struct {
+// fakeQuotas implements Workspaces with configurable refusals.
+type fakeQuotas struct {
 	confirmed, admit *call.Refusal
 	counted          int
 }
 
-func (q *quotas) CheckKeys(time.Time) *call.Refusal { return q.confirmed }
+func (q *fakeQuotas) CheckKeys(time.Time) *call.Refusal { return q.confirmed }
 
-func (q *quotas) Admit(time.Time, *config.Workspace) *call.Refusal {
+func (q *fakeQuotas) Admit(time.Time, *config.Workspace) *call.Refusal {
 	if q.admit == nil {
 		q.counted++
 	}
 	return q.admit
 }
 
-func (q *quotas) Refund(time.Time, *config.Workspace) { q.counted-- }
+func (q *fakeQuotas) Refund(time.Time, *config.Workspace) { q.counted-- }
 
-// Guards against a key that reaches a backend server, and against a caller that names its own
-// workspace.
+// Guards against an API key that reaches a backend server, and against a caller that sets the
+// workspace header itself.
 func TestKeys(t *testing.T) {
 	keyless := bookings()
 	keyless.Keyless = true
@@ -84,21 +86,21 @@
 		workspace string
 		passedOn  string
 	}{
-		{"known", bookings(), "Bearer " + keyOfHarbour, http.StatusOK, workspaceOne, ""},
-		{"scheme in lower case", bookings(), "bearer " + keyOfHarbour, http.StatusOK, workspaceOne, ""},
+		{"known", bookings(), "Bearer " + harbourKey, http.StatusOK, harbourWorkspace, ""},
+		{"scheme in lower case", bookings(), "bearer " + harbourKey, http.StatusOK, harbourWorkspace, ""},
 		{"unknown", bookings(), "Bearer other", http.StatusUnauthorized, "", ""},
 		{"empty", bookings(), "Bearer ", http.StatusUnauthorized, "", ""},
 		{"none", bookings(), "", http.StatusUnauthorized, "", ""},
-		{"another scheme", bookings(), "Basic " + keyOfHarbour, http.StatusUnauthorized, "", ""},
+		{"another scheme", bookings(), "Basic " + harbourKey, http.StatusUnauthorized, "", ""},
 		{"keyless class, none", keyless, "", http.StatusOK, "", ""},
-		{"keyless class, known", keyless, "Bearer " + keyOfHarbour, http.StatusOK, workspaceOne, ""},
+		{"keyless class, known", keyless, "Bearer " + harbourKey, http.StatusOK, harbourWorkspace, ""},
 		{"keyless class, unknown", keyless, "Bearer other", http.StatusOK, "", ""},
 		{"keyless class, another scheme", keyless, "Basic own", http.StatusOK, "", "Basic own"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var got http.Header
 			m := newMesh(t, tt.target, func(_ http.ResponseWriter, r *http.Request) { got = r.Header })
-			m.entry.Programs = keyed{one{tt.target}, keyring(t)}
+			m.entry.Programs = keyedProgram{one{tt.target}, keyring(t)}
 			resp, _, err := m.call("POST", "/launch", "x", headerAuthorization, tt.given, headerWorkspace, "forged")
 			if err != nil || resp.StatusCode != tt.status {
 				t.Fatalf("%v %v", resp, err)
@@ -113,8 +115,7 @@
 	}
 }
 
-// Guards against credentials that are taken from callers where the configuration has no
-// workspaces.
+// Guards against credentials that are removed although the configuration has no workspaces.
 func TestCredentialsWithoutWorkspaces(t *testing.T) {
 	var got http.Header
 	m := newMesh(t, bookings(), func(_ http.ResponseWriter, r *http.Request) { got = r.Header })
@@ -129,18 +130,18 @@
 func TestWorkspaceRefusals(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
-		quotas *quotas
+		quotas *fakeQuotas
 		status int
 		reason call.Reason
 	}{
-		{"not confirmed", &quotas{confirmed: &call.Refusal{Reason: call.ReasonUnconfirmed, RetryAfter: time.Second}}, http.StatusServiceUnavailable, call.ReasonUnconfirmed},
-		{"over the quota", &quotas{admit: &call.Refusal{Reason: call.ReasonOverQuota, RetryAfter: time.Second}}, http.StatusTooManyRequests, call.ReasonOverQuota},
+		{"not confirmed", &fakeQuotas{confirmed: &call.Refusal{Reason: call.ReasonUnconfirmed, RetryAfter: time.Second}}, http.StatusServiceUnavailable, call.ReasonUnconfirmed},
+		{"over the quota", &fakeQuotas{admit: &call.Refusal{Reason: call.ReasonOverQuota, RetryAfter: time.Second}}, http.StatusTooManyRequests, call.ReasonOverQuota},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) {})
-			m.entry.Programs = keyed{one{bookings()}, keyring(t)}
+			m.entry.Programs = keyedProgram{one{bookings()}, keyring(t)}
 			m.entry.Workspaces = tt.quotas
-			resp, _, err := m.call("POST", "/launch", "x", headerAuthorization, "Bearer "+keyOfHarbour)
+			resp, _, err := m.call("POST", "/launch", "x", headerAuthorization, "Bearer "+harbourKey)
 			if err != nil || resp.StatusCode != tt.status || resp.Header.Get(call.HeaderNotRun) != string(tt.reason) {
 				t.Fatalf("%v %v", resp, err)
 			}
@@ -151,13 +152,13 @@
 	}
 }
 
-// Guards against a quota that is used up by calls that no backend server ran.
-func TestRefusedCallIsGivenBack(t *testing.T) {
+// Guards against calls that were not run and still count against the quota.
+func TestRefusedCallIsRefunded(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
-	m.entry.Programs = keyed{one{bookings()}, keyring(t)}
-	q := new(quotas)
+	m.entry.Programs = keyedProgram{one{bookings()}, keyring(t)}
+	q := new(fakeQuotas)
 	m.entry.Workspaces = q
-	key := []string{headerAuthorization, "Bearer " + keyOfHarbour}
+	key := []string{headerAuthorization, "Bearer " + harbourKey}
 	if resp, _, err := m.call("POST", "/launch", "x", key...); err != nil || resp.StatusCode != http.StatusOK || q.counted != 1 {
 		t.Fatalf("%v %v, counted %d", resp, err, q.counted)
 	}
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -15,19 +15,19 @@
 	"github.com/marlpass/marlpass/internal/limit"
 )
 
-// memoryKeeper keeps claims in memory.
-type memoryKeeper struct {
+// memoryDeduplicator keeps claims in memory.
+type memoryDeduplicator struct {
 	mu     sync.Mutex
 	stored map[string]*Stored // nil while claimed
 	events []string
 	ended  chan struct{}
 }
 
-func newMemoryKeeper() *memoryKeeper {
-	return &memoryKeeper{stored: map[string]*Stored{}, ended: make(chan struct{}, 16)}
+func newMemoryDeduplicator() *memoryDeduplicator {
+	return &memoryDeduplicator{stored: map[string]*Stored{}, ended: make(chan struct{}, 16)}
 }
 
-func (k *memoryKeeper) Begin(_ context.Context, c KeyedCall) (Claim, *Stored, error) {
+func (k *memoryDeduplicator) Begin(_ context.Context, c KeyedCall) (Claim, *Stored, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s, claimed := k.stored[c.Key]
@@ -42,41 +42,40 @@
 }
 
 type memoryClaim struct {
-	k   *memoryKeeper
+	d   *memoryDeduplicator
 	key string
 }
 
 func (c *memoryClaim) Started(context.Context) error { return nil }
 
 func (c *memoryClaim) end(event string, s *Stored) {
-	c.k.mu.Lock()
-	c.k.events = append(c.k.events, event)
+	c.d.mu.Lock()
+	c.d.events = append(c.d.events, event)
 	if event == "abandon" {
-		delete(c.k.stored, c.key)
+		delete(c.d.stored, c.key)
 	} else {
-		c.k.stored[c.key] = s
+		c.d.stored[c.key] = s
 	}
-	c.k.mu.Unlock()
-	c.k.ended <- struct{}{}
+	c.d.mu.Unlock()
+	c.d.ended <- struct{}{}
 }
 
 func (c *memoryClaim) Finish(_ context.Context, s Stored) { c.end("finish", &s) }
 func (c *memoryClaim) Abandon(context.Context)            { c.end("abandon", nil) }
 func (c *memoryClaim) Lost(context.Context)               { c.end("lost", nil) }
 
-func newKeyedMesh(t *testing.T, h http.HandlerFunc) (*mesh, *memoryKeeper) {
+func newKeyedMesh(t *testing.T, h http.HandlerFunc) (*mesh, *memoryDeduplicator) {
 	m := newMesh(t, bookings(), h)
-	k := newMemoryKeeper()
+	k := newMemoryDeduplicator()
 	for _, d := range m.dest {
 		d.Keeper = k
 	}
 	return m, k
 }
 
-// A clerk's connection breaks after the submission was sent, and the clerk
-// sends it again. The first run goes on without its caller, and the second
-// sending gets its answer.
-func TestKeyedCallOutlivesItsCaller(t *testing.T) {
+// A caller's connection breaks after it sent a keyed call, and it retries. The first run must continue
+// without the caller, and the retry must get its answer.
+func TestKeyedCallContinuesWithoutCaller(t *testing.T) {
 	begun, finish := make(chan struct{}), make(chan struct{})
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, _ *http.Request) {
 		close(begun)
@@ -92,7 +91,7 @@
 		cancel()
 	}()
 	if _, err := m.public.Client().Do(req); err == nil {
-		t.Fatal("the first sending was answered")
+		t.Fatal("the first request was answered")
 	}
 	close(finish)
 	<-k.ended
@@ -105,15 +104,14 @@
 	}
 }
 
-// The backend server dies while it runs a submission. Nobody knows whether it
-// took effect: the claim stands, and a resend is told "unknown", not run again
-// and not "not run".
-func TestKeyedCallThatIsLostStaysUnknown(t *testing.T) {
+// The backend server crashes while it runs a keyed call, so the outcome is unknown. The claim must
+// stay, and a retry must neither run nor be answered "not run".
+func TestLostKeyedCallStaysUnknown(t *testing.T) {
 	m, k := newKeyedMesh(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	for i, want := range []int{http.StatusBadGateway, http.StatusConflict} {
 		resp, _, err := m.call("POST", "/submit", "price", "Idempotency-Key", "k1")
 		if err != nil || resp.StatusCode != want || resp.Header.Get(call.HeaderNotRun) != "" {
-			t.Fatalf("sending %d: got %v %v, want %d", i, resp, err, want)
+			t.Fatalf("request %d: got %v %v, want %d", i, resp, err, want)
 		}
 		if i == 0 {
 			<-k.ended
@@ -124,29 +122,29 @@
 	}
 }
 
-// The answer to a submission was larger than what is kept. A resend must not
-// get the head of that answer as if it were the whole.
-func TestKeyedAnswerThatIsTooLargeIsNotCut(t *testing.T) {
+// The answer to a keyed call is larger than the storage limit. A retry must not get a truncated answer
+// as if it were complete.
+func TestOversizedKeyedAnswerIsNotTruncated(t *testing.T) {
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, strings.Repeat("x", maxStoredBody+1))
 	})
 	_, body, err := m.call("POST", "/submit", "price", "Idempotency-Key", "k1")
 	if err != nil || len(body) != maxStoredBody+1 {
-		t.Fatalf("the first sending got %d bytes, %v", len(body), err)
+		t.Fatalf("the first request got %d bytes, %v", len(body), err)
 	}
 	<-k.ended
 	resp, body, err := m.call("POST", "/submit", "price", "Idempotency-Key", "k1")
 	if err != nil || resp.StatusCode != http.StatusConflict || !strings.Contains(body, "the call has run") {
-		t.Fatalf("the resend got %v %q %v", resp, body, err)
+		t.Fatalf("the retry got %v %q %v", resp, body, err)
 	}
 	if n := m.runs.Load(); n != 1 {
 		t.Fatalf("run %d times", n)
 	}
 }
 
-// A backend server refuses a keyed call. The claim is given up, so that the
-// next attempt, at another node, can take it.
-func TestKeyedCallThatIsRefusedIsAbandoned(t *testing.T) {
+// A backend server refuses a keyed call. The claim must be abandoned, so that the next attempt, at
+// another node, can claim the key.
+func TestRefusedKeyedCallAbandonsClaim(t *testing.T) {
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(call.HeaderRefused, r.Header.Get(call.HeaderAttempt))
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -162,13 +160,12 @@
 	}
 }
 
-// The answer to a keyed call is kept for its resends, but a key says nothing
-// for a class that may run twice anyway.
+// An idempotent class ignores the idempotency key: no claim is made, and the key is forwarded.
 func TestKeyOfIdempotentClassIsPassedOn(t *testing.T) {
 	m := newMesh(t, lookups(), func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, r.Header.Get("Idempotency-Key"))
 	})
-	k := newMemoryKeeper()
+	k := newMemoryDeduplicator()
 	m.dest[0].Keeper, m.dest[1].Keeper = k, k
 	_, body, err := m.call("POST", "/", "x", "Idempotency-Key", "k1")
 	if err != nil || body != "k1" || len(k.stored) != 0 {
@@ -190,25 +187,25 @@
 	}
 }
 
-// downKeeper is a keeper whose platform cannot be reached once down is set.
-type downKeeper struct {
-	*memoryKeeper
+// unavailableDeduplicator refuses every claim as store-down once down is set.
+type unavailableDeduplicator struct {
+	*memoryDeduplicator
 	down bool
 }
 
-func (k *downKeeper) Begin(ctx context.Context, c KeyedCall) (Claim, *Stored, error) {
+func (k *unavailableDeduplicator) Begin(ctx context.Context, c KeyedCall) (Claim, *Stored, error) {
 	if k.down {
 		return nil, nil, &call.Refusal{Reason: call.ReasonStoreDown, Detail: "no claim"}
 	}
-	return k.memoryKeeper.Begin(ctx, c)
+	return k.memoryDeduplicator.Begin(ctx, c)
 }
 
-// A launch charge runs and its answer is lost. Its caller sends it again, and
-// meanwhile the platform went down. No node can tell whether the key ran. The
-// caller was told "not run", and charged the family anew.
-func TestResendWhileThePlatformIsDownIsNotCalledNotRun(t *testing.T) {
+// A keyed call runs and its answer is lost, and the platform is down when the caller retries. No node
+// can tell whether the key ran, so the retry must not be answered "not run", or the caller may repeat
+// the call under a new key.
+func TestRetryWhilePlatformIsDownIsNotReportedNotRun(t *testing.T) {
 	m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	k := &downKeeper{memoryKeeper: newMemoryKeeper()}
+	k := &unavailableDeduplicator{memoryDeduplicator: newMemoryDeduplicator()}
 	m.dest[0].Keeper, m.dest[1].Keeper = k, k
 	m.call("POST", "/charge", "x", "Idempotency-Key", "k1")
 	<-k.ended
@@ -218,21 +215,20 @@
 		t.Fatalf("got %v, %v", resp, err)
 	}
 	if why := resp.Header.Get(call.HeaderNotRun); why != "" || strings.Contains(body, `"not_run":true`) {
-		t.Errorf("told not run: %q %s", why, body)
+		t.Errorf("answered not run: %q %s", why, body)
 	}
 	if !strings.Contains(body, string(call.ReasonStoreDown)) || m.runs.Load() != 1 {
-		t.Errorf("told %s, run %d times", body, m.runs.Load())
+		t.Errorf("answered %s, run %d times", body, m.runs.Load())
 	}
 }
 
-// Many callers upload at once, and a node has no memory left to keep another
-// body. An owner's booking with a key and a short body was then answered 400,
-// mend it, and was lost; it has to be told that there is no room now.
-func TestKeyedCallBesideManyUploads(t *testing.T) {
+// Many uploads use up a node's memory for buffered bodies. A keyed call with a short body must be
+// refused as overloaded, which callers retry, and not with 400.
+func TestKeyedCallWithoutBufferMemoryIsOverloaded(t *testing.T) {
 	m, _ := newKeyedMesh(t, func(http.ResponseWriter, *http.Request) {})
 	for _, d := range m.dest {
 		if !d.kept.take(keptBodyTotal) {
-			t.Fatal("no memory to begin with")
+			t.Fatal("no buffer memory at the start")
 		}
 	}
 	resp, _, err := m.call("POST", "/", "hull 7", "Idempotency-Key", "k1")
@@ -241,10 +237,9 @@
 	}
 }
 
-// A backend server answers a submission with a status that HTTP does not have,
-// and net/http panics when it is passed on. The caller got no answer, yet "no
-// answer" was recorded as the whole one, and every resend met the same panic.
-func TestAnswerThatCannotBePassedOnIsLost(t *testing.T) {
+// A backend server answers a keyed call with an invalid status code, and net/http panics when it is
+// relayed. The claim must be recorded as lost: a stored answer would panic again on every retry.
+func TestUnrelayableAnswerIsRecordedAsLost(t *testing.T) {
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, _ *http.Request) {
 		c, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -258,35 +253,34 @@
 	<-k.ended
 	resp, _, err := m.call("POST", "/submit", "price", "Idempotency-Key", "k1")
 	if err != nil || resp.StatusCode != http.StatusConflict || m.runs.Load() != 1 {
-		t.Fatalf("the resend got %v, %v; events %v, run %d times", resp, err, k.events, m.runs.Load())
+		t.Fatalf("the retry got %v, %v; events %v, run %d times", resp, err, k.events, m.runs.Load())
 	}
 }
 
-// fullOnce is a gate that has no room for the first call of all that share all.
-type fullOnce struct {
+// busyOnceGate refuses the first call of all gates that share total.
+type busyOnceGate struct {
 	FixedLimit
-	all   *atomic.Int64
+	total *atomic.Int64
 	calls atomic.Int64
 }
 
-func (g *fullOnce) Acquire(ctx context.Context, b Backend, t *config.Target, times limit.AcquireOptions) (Permit, error) {
+func (g *busyOnceGate) Acquire(ctx context.Context, b Backend, t *config.Target, times limit.AcquireOptions) (Permit, error) {
 	g.calls.Add(1)
-	if g.all.Add(1) == 1 {
+	if g.total.Add(1) == 1 {
 		return nil, &call.Refusal{Reason: call.ReasonOverloaded}
 	}
 	return g.FixedLimit.Acquire(ctx, b, t, times)
 }
 
-// The platform is down and a class runs under the guard of the node that its
-// key names. That node had no room for a moment, so the booking was sent on and
-// ran beside another. Its answer was lost, the resend went to the node that the
-// key names, which knew nothing of the key, and the booking ran a second time.
-func TestGuardedCallStaysWhereItsKeyLeads(t *testing.T) {
+// The platform is down, and calls are deduplicated by the node that their key selects. If that node is
+// overloaded, the call must not run elsewhere: its retry would go to the selected node, which doesn't
+// know the key, and run a second time. A node that drains is skipped.
+func TestLocallyGuardedCallStaysAtItsNode(t *testing.T) {
 	target := bookings()
 	target.OnStoreDown = config.OnStoreDownLocalGuard
 	m := newMesh(t, target, func(http.ResponseWriter, *http.Request) {})
 	var all atomic.Int64
-	gates := [2]*fullOnce{{all: &all}, {all: &all}}
+	gates := [2]*busyOnceGate{{total: &all}, {total: &all}}
 	for i, d := range m.dest {
 		d.Gates = gates[i]
 	}
@@ -301,28 +295,26 @@
 	m.useAll()
 	for _, key := range []string{"k1", "k2", "k3", "k4"} {
 		if resp, _, err := m.call("POST", "/", "x", "Idempotency-Key", key); err != nil || resp.StatusCode != http.StatusOK {
-			t.Errorf("%s beside a node that drains: %v, %v", key, resp, err)
+			t.Errorf("%s while a node drains: %v, %v", key, resp, err)
 		}
 	}
 }
 
-// A clerk's client sends a submission with a key to a path that answers with an
-// endless stream, and leaves. The call ran on for its resends, for as long as the
-// backend server sent: it held its slot, and no planned stop could end. It must
-// end at its deadline.
+// A keyed call gets an endless answer, and its caller leaves. The call continues for retries and must
+// end at its deadline, or it would hold its slot and block a graceful stop.
 func TestEndlessAnswerEndsWithItsDeadline(t *testing.T) {
-	var over atomic.Bool
+	var stop atomic.Bool
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, r *http.Request) {
-		for r.Context().Err() == nil && !over.Load() {
+		for r.Context().Err() == nil && !stop.Load() {
 			io.WriteString(w, "line\n")
 			w.(http.Flusher).Flush()
 			time.Sleep(time.Millisecond)
 		}
 	})
-	t.Cleanup(func() { over.Store(true) })
-	var ahead atomic.Int64
+	t.Cleanup(func() { stop.Store(true) })
+	var clockOffset atomic.Int64
 	for _, d := range m.dest {
-		d.Now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
+		d.Now = func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) }
 	}
 	ctx, leave := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, "POST", m.public.URL+"/", strings.NewReader("x"))
@@ -333,11 +325,11 @@
 	}
 	leave()
 	resp.Body.Close()
-	ahead.Store(int64(2 * maxDeadline))
+	clockOffset.Store(int64(2 * maxDeadline))
 	select {
 	case <-k.ended:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the call runs on")
+		t.Fatal("the call is still running")
 	}
 	if k.events[0] != "lost" {
 		t.Errorf("events %v", k.events)
--- a/internal/proxy/returns.go
+++ b/internal/proxy/returning_callers.go
@@ -39,14 +39,14 @@
 }
 
 // recordRefusal records that c was refused and its caller told to retry after the given time.
-func (t *returningCallers) recordRefusal(now time.Time, c *entryCall, after time.Duration) {
+func (t *returningCallers) recordRefusal(now time.Time, c *entryCall, retryAfter time.Duration) {
 	if c.fp == (quarantine.Fingerprint{}) {
 		return // refused before the body was read
 	}
-	r := &refusedCall{fp: c.fp, firstAttempt: c.firstAttempt, returnBy: now.Add(2*after + returnGrace)}
+	r := &refusedCall{fp: c.fp, firstAttempt: c.firstAttempt, returnBy: now.Add(2*retryAfter + returnGrace)}
 	// A deadline shorter than the class's timeout is the caller's own: it doesn't retry later.
-	own := c.deadline.Sub(c.start) < c.target.Timeout()
-	if own && c.deadline.Before(r.returnBy) {
+	ownDeadline := c.deadline.Sub(c.start) < c.target.Timeout()
+	if ownDeadline && c.deadline.Before(r.returnBy) {
 		r.returnBy = c.deadline
 	}
 	t.cell(c.fp).Store(r)
@@ -103,18 +103,18 @@
 // add records a refusal and rates the class by the refusals that are decided.
 func (c *classReturns) add(now time.Time, r *refusedCall) {
 	c.recent[c.next.Add(1)%returnsWindow].Store(r)
-	old, back := 0, 0
+	decided, retried := 0, 0
 	for i := range c.recent {
 		r := c.recent[i].Load()
 		if r == nil || now.Before(r.returnBy) && !r.returned.Load() {
 			continue
 		}
-		old++
+		decided++
 		if r.returned.Load() {
-			back++
+			retried++
 		}
 	}
-	if old >= minExpiredReturns {
-		c.oneShot.Store(float64(back) < minReturnShare*float64(old))
+	if decided >= minExpiredReturns {
+		c.oneShot.Store(float64(retried) < minReturnShare*float64(decided))
 	}
 }
--- a/internal/proxy/look.go
+++ b/internal/proxy/slot_search.go
@@ -56,8 +56,8 @@
 }
 
 // widen returns the scope to try when no endpoint is left in scope.
-func (s *slotSearch) widen(look SearchScope, free *freeSlotShare) SearchScope {
-	if look == SearchRegion || s.remote >= maxRegionOffers || free.load() < minRegionShare {
+func (s *slotSearch) widen(scope SearchScope, free *freeSlotShare) SearchScope {
+	if scope == SearchRegion || s.remote >= maxRegionOffers || free.load() < minRegionShare {
 		return NoSearch
 	}
 	return SearchRegion
@@ -94,10 +94,10 @@
 		return nil
 	}
 	free := e.freeSlots.of(c.target.Service)
-	for look := c.search.initialScope(free); look != NoSearch; look = c.search.widen(look, free) {
-		choice, err := e.Pickers.Pick(now, c.target, PickInfo{Tried: c.search.rejected, Scope: look})
+	for scope := c.search.initialScope(free); scope != NoSearch; scope = c.search.widen(scope, free) {
+		choice, err := e.Pickers.Pick(now, c.target, PickInfo{Tried: c.search.rejected, Scope: scope})
 		if err == nil {
-			c.search.scope = look
+			c.search.scope = scope
 			return choice
 		}
 	}
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// stop ends node i as planned: the way in which internal/node closes its sockets.
+// stop stops node i gracefully, in the way internal/node closes its sockets.
 func (m *mesh) stop(i int) error {
 	if err := m.calls[i].Wait(context.Background()); err != nil {
 		return err
@@ -16,9 +16,9 @@
 	return m.nodes[i].Config.Shutdown(context.Background())
 }
 
-// Guards the planned stop of a VM while a long download runs: the download ends whole, and the
-// calls that come meanwhile, up to the moment in which the sockets close, are all answered.
-func TestStopCutsNothing(t *testing.T) {
+// Guards the graceful stop of a VM during a long download: the download completes, and all calls that
+// arrive until the sockets close are answered.
+func TestStopDropsNoCalls(t *testing.T) {
 	begun, finish := make(chan struct{}), make(chan struct{})
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/long" {
@@ -59,7 +59,7 @@
 	if body := <-got; body != "first half,second half" {
 		t.Errorf("got %q", body)
 	}
-	for range 20 { // the other nodes have not heard yet that the node leaves
+	for range 20 { // the other nodes don't know yet that the node is leaving
 		book()
 	}
 	m.useOnly(1)
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -88,16 +88,16 @@
 const fastIdleTimeout = 5 * time.Second
 
 // NewUpstreams returns empty pools that open TCP connections with the timeouts t.
-func NewUpstreams(p ConnTimeouts) *Upstreams {
-	u := NewUpstreamsWithDialer(p.dialer().DialContext)
-	u.idleTimeout, u.dialTimeout = p.IdleTimeout, p.DialTimeout
+func NewUpstreams(t ConnTimeouts) *Upstreams {
+	u := NewUpstreamsWithDialer(t.dialer().DialContext)
+	u.idleTimeout, u.dialTimeout = t.IdleTimeout, t.DialTimeout
 	return u
 }
 
-func (p ConnTimeouts) dialer() *net.Dialer {
+func (t ConnTimeouts) dialer() *net.Dialer {
 	return &net.Dialer{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: p.KeepAliveIdle, Interval: p.KeepAliveInterval, Count: p.KeepAliveCount},
-		Control:         p.boundUnacked,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: t.KeepAliveIdle, Interval: t.KeepAliveInterval, Count: t.KeepAliveCount},
+		Control:         t.boundUnacked,
 	}
 }
 
@@ -114,8 +114,8 @@
 
 // WithHandshake sets the handshake for connections to other nodes and returns u. It must be called
 // before u is used.
-func (u *Upstreams) WithHandshake(s Handshake) *Upstreams {
-	u.handshake = s
+func (u *Upstreams) WithHandshake(h Handshake) *Upstreams {
+	u.handshake = h
 	return u
 }
 
@@ -180,9 +180,9 @@
 func (u *Upstreams) newTransport(vm string) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			if by, ok := dialDeadline(ctx); ok {
+			if deadline, ok := dialDeadline(ctx); ok {
 				var cancel context.CancelFunc
-				ctx, cancel = context.WithDeadline(ctx, by)
+				ctx, cancel = context.WithDeadline(ctx, deadline)
 				defer cancel()
 			}
 			return u.connect(ctx, network, addr, vm)
