--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -316,7 +316,7 @@
 )
 
 // stallTimeoutOf returns the stall timeout of a class: its deadline, or half of it for an idempotent
-// class, which leaves the caller time for a retry.
+// class to leave the caller time for a retry, within the limits above.
 func stallTimeoutOf(t *config.Target) time.Duration {
 	d := t.Deadline()
 	if t.Idempotent {
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -16,7 +16,7 @@
 type EntryOptions struct {
 	Self      string // this node's VM
 	Programs  Programs
-	Readiness Readiness // nil if the node is ready
+	Readiness Readiness // nil if the node is ready from the start
 	Admitter  Admitter
 	Pickers   Pickers
 	Retrier   Retrier
@@ -75,7 +75,7 @@
 	target *config.Target
 	class  *ClassMeter
 	body   body
-	id     string // in the logs
+	id     string // of the call in the logs
 	start  time.Time
 	// firstAttempt is when the caller first sent the request, if this node refused it and the
 	// caller is retrying; otherwise start.
--- a/internal/proxy/entry_log.go
+++ b/internal/proxy/entry_log.go
@@ -57,14 +57,14 @@
 
 // logAnswer logs an answer that was cut off, failed or late, and counts all others.
 func (e *Entry) logAnswer(now time.Time, c *entryCall, endpoint string, a *answer, p passed) {
-	took, aim := now.Sub(c.start), c.target.AnswerWithin()
+	took, latencyTarget := now.Sub(c.start), c.target.AnswerWithin()
 	kind, text := decisions.Kind(""), ""
 	switch {
 	case p.partial || p.gone:
 		kind, text = decisions.Cut, "entry: the answer was cut off, or the caller left"
 	case a.resp.StatusCode >= http.StatusInternalServerError:
 		kind, text = decisions.Failed, "entry: relay a server error of the backend server"
-	case aim > 0 && took > aim:
+	case latencyTarget > 0 && took > latencyTarget:
 		kind, text = decisions.Late, "entry: the answer is later than the class aims at"
 	default:
 		e.Decisions.Answered(c.target.Name, endpoint)
@@ -72,5 +72,5 @@
 	}
 	e.logLine(now, kind, c).Str("endpoint", endpoint).Int("status", a.resp.StatusCode).
 		Int64("waited_ms", a.took.wait.Milliseconds()).Int64("ran_ms", a.took.run.Milliseconds()).
-		Int64("aim_ms", aim.Milliseconds()).Int64("bytes", p.bytes).Bool("partial", p.partial).Msg(text)
+		Int64("aim_ms", latencyTarget.Milliseconds()).Int64("bytes", p.bytes).Bool("partial", p.partial).Msg(text)
 }
--- a/internal/proxy/entry_run.go
+++ b/internal/proxy/entry_run.go
@@ -67,8 +67,8 @@
 
 // overdue reports whether c has taken longer than the latency target of its class.
 func (c *entryCall) overdue(now time.Time) bool {
-	aim := c.target.AnswerWithin()
-	return aim > 0 && now.Sub(c.firstAttempt) > aim
+	latencyTarget := c.target.AnswerWithin()
+	return latencyTarget > 0 && now.Sub(c.firstAttempt) > latencyTarget
 }
 
 // recordBroken reports to Suspects that the connection to ep broke during the call, and updates
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -71,7 +71,7 @@
 	Refused   call.Reason // why it was not run, or empty
 	Latency   time.Duration
 	Load      Load
-	Bytes     int64 // of the answer's body
+	Bytes     int64 // of the answer's body if that is complete
 	// LinkWait is how long large answers wait for the endpoint's link.
 	LinkWait time.Duration
 }
@@ -223,6 +223,6 @@
 	// than b, or nil.
 	Pinned(now time.Time, b Backend, fp quarantine.Fingerprint) *call.Refusal
 	// Start records that the request is about to run. Its error is a *call.Refusal.
-	Start(now time.Time, b Backend, fp quarantine.Fingerprint, what quarantine.Request) (quarantine.Token, error)
-	Done(now time.Time, b Backend, tok quarantine.Token, end quarantine.RunResult)
+	Start(now time.Time, b Backend, fp quarantine.Fingerprint, req quarantine.Request) (quarantine.Token, error)
+	Done(now time.Time, b Backend, tok quarantine.Token, result quarantine.RunResult)
 }
--- a/internal/proxy/returning_callers.go
+++ b/internal/proxy/returning_callers.go
@@ -26,7 +26,7 @@
 	// returnTableSize is enough for a few seconds of refusals: at 500 refusals a second, 8 of 10
 	// are still in the table after 2 s.
 	returnTableSize = 4096
-	// returnGrace is how much later than Retry-After a caller may retry.
+	// returnGrace is added to twice Retry-After for the time within which a retry is expected.
 	returnGrace = time.Second
 )
 
@@ -38,13 +38,13 @@
 	returned     atomic.Bool
 }
 
-// recordRefusal records that c was refused and its caller told to retry after the given time.
+// recordRefusal records that c was refused with the given Retry-After.
 func (t *returningCallers) recordRefusal(now time.Time, c *entryCall, retryAfter time.Duration) {
 	if c.fp == (quarantine.Fingerprint{}) {
 		return // refused before the body was read
 	}
 	r := &refusedCall{fp: c.fp, firstAttempt: c.firstAttempt, returnBy: now.Add(2*retryAfter + returnGrace)}
-	// A deadline shorter than the class's timeout is the caller's own: it doesn't retry later.
+	// A deadline shorter than the class's timeout was set by the caller, which leaves then.
 	ownDeadline := c.deadline.Sub(c.start) < c.target.Timeout()
 	if ownDeadline && c.deadline.Before(r.returnBy) {
 		r.returnBy = c.deadline
@@ -55,9 +55,9 @@
 
 // firstAttempt returns when the caller of a request received now first sent it.
 func (t *returningCallers) firstAttempt(now time.Time, fp quarantine.Fingerprint) time.Time {
-	place := t.cell(fp)
-	r := place.Load()
-	if r == nil || r.fp != fp || now.After(r.returnBy) || !place.CompareAndSwap(r, nil) {
+	cell := t.cell(fp)
+	r := cell.Load()
+	if r == nil || r.fp != fp || now.After(r.returnBy) || !cell.CompareAndSwap(r, nil) {
 		return now
 	}
 	r.returned.Store(true)
@@ -84,9 +84,9 @@
 const (
 	// returnsWindow is the number of recent refusals of a class that are considered.
 	returnsWindow = 32
-	// minExpiredReturns is how many of them must be decided, by a retry or by returnBy, before
+	// minDecidedRefusals is how many of them must be decided, by a retry or by returnBy, before
 	// the class is rated.
-	minExpiredReturns = 6
+	minDecidedRefusals = 6
 	// minReturnShare is the share of retries below which a class counts as one-shot. Callers
 	// that retry in principle may leave too; if nine of ten do, a refused call is as good as
 	// lost.
@@ -114,7 +114,7 @@
 			retried++
 		}
 	}
-	if decided >= minExpiredReturns {
+	if decided >= minDecidedRefusals {
 		c.oneShot.Store(float64(retried) < minReturnShare*float64(decided))
 	}
 }
--- a/internal/proxy/slot_search_model_test.go
+++ b/internal/proxy/slot_search_model_test.go
@@ -39,7 +39,7 @@
 	speed          float64
 	picker         *route.Picker
 	queue          *limit.Queue
-	free           freeSlotShare
+	freeSlots      freeSlotShare
 }
 
 type modelCall struct {
@@ -136,7 +136,7 @@
 func (m *model) pick(now time.Time, c *modelCall) (route.Choice, bool) {
 	n := c.from
 	if m.search && len(c.tried) == 0 {
-		for scope := c.search.initialScope(&n.free); scope != NoSearch; scope = c.search.widen(scope, &n.free) {
+		for scope := c.search.initialScope(&n.freeSlots); scope != NoSearch; scope = c.search.widen(scope, &n.freeSlots) {
 			if choice, err := n.picker.PickFreeSlot(now, scope == SearchDataCentre, c.search.rejected); err == nil {
 				c.search.scope = scope
 				return choice, false
@@ -151,7 +151,7 @@
 }
 
 func (m *model) offer(now time.Time, c *modelCall) {
-	choice, wait := m.pick(now, c)
+	choice, mayQueue := m.pick(now, c)
 	to := m.byID[choice.Endpoint().VM]
 	latency := modelRemoteLatency
 	switch {
@@ -161,11 +161,11 @@
 		latency = modelLocalLatency
 	}
 	m.offers++
-	m.schedule(now.Add(latency), func(now time.Time) { m.arrive(now, c, choice, to, latency, wait) })
+	m.schedule(now.Add(latency), func(now time.Time) { m.arrive(now, c, choice, to, latency, mayQueue) })
 }
 
-func (m *model) arrive(now time.Time, c *modelCall, choice route.Choice, to *modelNode, latency time.Duration, wait bool) {
-	e := &limit.Entry{FirstAttempt: c.firstAttempt, NoWait: !wait}
+func (m *model) arrive(now time.Time, c *modelCall, choice route.Choice, to *modelNode, latency time.Duration, mayQueue bool) {
+	e := &limit.Entry{FirstAttempt: c.firstAttempt, NoWait: !mayQueue}
 	m.onResult[e] = func(at time.Time, refused *call.Refusal) {
 		delete(m.onResult, e)
 		if refused == nil {
@@ -206,7 +206,7 @@
 
 func (m *model) refused(now time.Time, c *modelCall, choice route.Choice, r *call.Refusal) {
 	choice.Done(now, route.Report{Outcome: call.NotRun, Refused: r.Reason})
-	c.from.free.add(false)
+	c.from.freeSlots.add(false)
 	if r.Reason == call.ReasonBusy {
 		c.search.reject(choice.Endpoint().ID)
 		m.offer(now, c)
@@ -229,7 +229,7 @@
 		m.handleEvents(now, to)
 		l := loadOf(to)
 		m.schedule(now.Add(latency), func(now time.Time) {
-			c.from.free.add(waited < maxImmediateWait)
+			c.from.freeSlots.add(waited < maxImmediateWait)
 			choice.Done(now, route.Report{Outcome: call.Ran, Latency: now.Sub(sent), Load: l})
 			if c.queued {
 				m.queued++
