--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -238,7 +238,8 @@
 }
 
 // A backend server answers a keyed call with an invalid status code, and net/http panics when it is
-// relayed. The claim must be recorded as lost: a stored answer would panic again on every retry.
+// relayed. The claim must be recorded as lost: an empty answer stored as complete would panic again on
+// every retry.
 func TestUnrelayableAnswerIsRecordedAsLost(t *testing.T) {
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, _ *http.Request) {
 		c, _, err := http.NewResponseController(w).Hijack()
