--- a/internal/node/metrics_calls.go
+++ b/internal/node/metrics_calls.go
@@ -15,17 +15,17 @@
 	for _, t := range c.meters.Totals() {
 		writeClass(p, &t)
 	}
-	c.meters.PartTimes(func(service string, part proxy.Part, h proxy.Histogram) {
+	c.meters.LatencyParts(func(service string, part proxy.LatencyPart, h proxy.Histogram) {
 		writeHistogram(p, "marlpass_call_part_seconds", h, "service", service, "part", string(part))
 	})
 	c.entry.FreeSlotShares(func(service string, share float64) {
 		p.gauge("marlpass_call_free_slot_ratio", share, "service", service)
 	})
-	c.retries.each(func(service string, left float64) {
+	c.retries.eachBudget(func(service string, left float64) {
 		p.gauge("marlpass_call_retry_budget", left, "service", service)
 	})
-	for why, n := range c.retries.why.all() {
-		p.counter("marlpass_call_retry_decisions_total", n, "why", why)
+	for reason, n := range c.retries.reasons.values() {
+		p.counter("marlpass_call_retry_decisions_total", n, "why", reason)
 	}
 	c.writeGates(p, now)
 	c.writeOnce(p)
@@ -41,8 +41,8 @@
 
 // writeClass tells what callers got, by the class of work.
 func writeClass(p page, t *proxy.ClassTotals) {
-	for why, n := range t.Refused {
-		p.counter("marlpass_call_refused_total", n, "class", t.Class, "reason", string(why))
+	for reason, n := range t.Refused {
+		p.counter("marlpass_call_refused_total", n, "class", t.Class, "reason", string(reason))
 	}
 	if t.Class == "" {
 		return
@@ -55,8 +55,8 @@
 func writeHistogram(p page, name string, h proxy.Histogram, l ...string) {
 	for _, b := range h.Buckets {
 		le := "+Inf"
-		if !math.IsInf(b.Within, 1) {
-			le = strconv.FormatFloat(b.Within, 'g', -1, 64)
+		if !math.IsInf(b.UpperBound, 1) {
+			le = strconv.FormatFloat(b.UpperBound, 'g', -1, 64)
 		}
 		p.counter(name+"_bucket", b.Calls, append(slices.Clip(l), "le", le)...)
 	}
@@ -86,16 +86,16 @@
 
 // writeOnce tells what became of calls with a key.
 func (c *callPath) writeOnce(p page) {
-	s := c.keeper.Stats()
+	s := c.dedup.Stats()
 	p.counter("marlpass_once_claims_total", s.Claims)
 	p.counter("marlpass_once_replays_total", s.Replays)
 	p.counter("marlpass_once_unknowns_total", s.Unknowns)
 	p.counter("marlpass_once_joins_total", s.Joins)
 	p.counter("marlpass_once_refused_total", s.Refused)
-	p.counter("marlpass_once_guards_total", s.Guards)
+	p.counter("marlpass_once_guards_total", s.LocalGuards)
 	p.counter("marlpass_once_unstored_total", s.Unstored)
 	p.counter("marlpass_once_platform_writes_total", s.Writes)
-	p.gauge("marlpass_once_guards_held", float64(s.GuardsHeld))
+	p.gauge("marlpass_once_guards_held", float64(s.LocalKeys))
 }
 
 // writeRegistry tells which backend servers are beside this node.
@@ -105,7 +105,7 @@
 		p.gauge("marlpass_backend_slots", float64(b.Slots), l...)
 		p.flag("marlpass_backend_state", true, append(l, "state", b.State.String())...)
 	}
-	for service, n := range *c.pickers.ready.Load() {
+	for service, n := range *c.pickers.readyCounts.Load() {
 		p.gauge("marlpass_service_endpoints_ready", float64(n), "service", service)
 	}
 	for service, picker := range *c.pickers.byService.Load() {
--- a/internal/node/policies.go
+++ b/internal/node/policies.go
@@ -14,8 +14,8 @@
 	FixedLimit bool
 	// Retrier decides on retries; nil takes the node's own.
 	Retrier proxy.Retrier
-	// NoKeeper runs keyed calls without a claim.
-	NoKeeper bool
+	// NoDeduplication runs keyed calls without a claim.
+	NoDeduplication bool
 	// NoQuarantine keeps no request from running.
 	NoQuarantine bool
 }
@@ -28,17 +28,17 @@
 func Baseline() Policies {
 	return Policies{
 		RoundRobin: true, FixedLimit: true, Retrier: proxy.RetryAlwaysUpTo(baselineAttempts),
-		NoKeeper: true, NoQuarantine: true,
+		NoDeduplication: true, NoQuarantine: true,
 	}
 }
 
 // destinationParts returns the parts of the destination with these policies.
-func (p Policies) destinationParts(parts proxy.DestinationParts) proxy.DestinationParts {
+func (p Policies) destinationParts(parts proxy.DestinationOptions) proxy.DestinationOptions {
 	if p.FixedLimit {
 		parts.Gates = new(proxy.FixedLimit)
 	}
-	if p.NoKeeper {
-		parts.Keeper = nil
+	if p.NoDeduplication {
+		parts.Deduplicator = nil
 	}
 	if p.NoQuarantine {
 		parts.Suspects = nil
@@ -49,8 +49,8 @@
 // entryParts returns the parts of the entry with these policies.
 func (p Policies) entryParts(parts proxy.EntryOptions, own *pickers) proxy.EntryOptions {
 	if p.RoundRobin {
-		own.plain = new(proxy.RoundRobin)
-		parts.Pickers = own.plain
+		own.roundRobin = new(proxy.RoundRobin)
+		parts.Pickers = own.roundRobin
 	}
 	if p.Retrier != nil {
 		parts.Retrier = p.Retrier
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -196,10 +196,10 @@
 	// linkWait is how long large answers wait for the link of the destination's VM.
 	linkWait time.Duration
 	// took is the time spent at the destination, by part.
-	took took
+	took destinationTimes
 	// held are the resources that the call holds at this node until its answer has been
 	// relayed; nil if another node ran it.
-	held *holding
+	held *execution
 }
 
 // abort closes an answer that must not be relayed, and its connection.
@@ -232,7 +232,7 @@
 // Timeouts and cancellations don't count. Taking them for crashes would quarantine harmless requests
 // whenever connections go silent or callers have short timeouts.
 func (a *answer) connBroke() bool {
-	return a.err != nil && !a.expired && kindOf(a.err) == unknownLost && !errors.Is(a.err, context.Canceled)
+	return a.err != nil && !a.expired && unknownKindOf(a.err) == unknownLost && !errors.Is(a.err, context.Canceled)
 }
 
 // send sends o and waits until its answer begins. The answer's body must be closed exactly once.
@@ -284,7 +284,7 @@
 
 // failed ends an attempt that got no answer, and returns a refusal or an error.
 func (a *attempt) failed(err error) answer {
-	refusal := a.unsent()
+	refusal := a.refusalIfUnsent()
 	a.mu.Lock()
 	waited, replay := a.timedOut, a.replay
 	a.mu.Unlock()
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -40,7 +40,7 @@
 // Entry receives calls from callers and forwards them to destination nodes.
 type Entry struct {
 	EntryOptions
-	kept      keptBodies
+	kept      bodyBudget
 	returning returningCallers
 	freeSlots freeSlotShares
 }
@@ -126,8 +126,8 @@
 		return
 	}
 	var err error
-	if c.body, err = takeBody(w, r, &e.kept, c.deadline, c.maxBody); err != nil {
-		e.refuse(w, c, refuseBody(err))
+	if c.body, err = prepareBody(w, r, &e.kept, c.deadline, c.maxBody); err != nil {
+		e.refuse(w, c, refuseIncompleteBody(err))
 		return
 	}
 	defer c.body.release()
@@ -163,7 +163,7 @@
 
 // fingerprintOf returns a fingerprint that is equal for retries of the same request.
 func fingerprintOf(r *http.Request, h http.Header, b *body) quarantine.Fingerprint {
-	return quarantine.NewFingerprint(r.Method, r.Host, r.URL.Path, r.URL.RawQuery, h, b.length, b.kept)
+	return quarantine.NewFingerprint(r.Method, r.Host, r.URL.Path, r.URL.RawQuery, h, b.length, b.buffered)
 }
 
 // setExpect sets "Expect: 100-continue" for the destination node if the body is streamed. A refusal
--- a/internal/proxy/entry_answer.go
+++ b/internal/proxy/entry_answer.go
@@ -14,7 +14,7 @@
 func (e *Entry) answer(w http.ResponseWriter, c *entryCall, choice Choice, a *answer, sent time.Time) {
 	latency := e.Now().Sub(sent)
 	endpoint := choice.Endpoint().ID // Done recycles choice
-	p := passed{partial: true}       // in case relay panics
+	p := relayResult{partial: true}  // in case relay panics
 	defer func() {
 		now := e.Now()
 		rep := report(a, latency)
@@ -22,20 +22,20 @@
 		rep.Bytes = p.bytes
 		choice.Done(now, rep)
 		c.class.Answered(now, now.Sub(c.start), rep.Failed)
-		e.Meters.parts.add(c.target.Service, now.Sub(c.start), a.took)
+		e.Meters.latencyParts.add(c.target.Service, now.Sub(c.start), a.took)
 		e.logAnswer(now, c, endpoint, a, p)
 		if e.Suspects != nil && !p.partial {
 			e.Suspects.Answered(now, c.fp)
 		}
 	}()
-	c.body.answering(c.r, w.Header())
+	c.body.closeUnlessRead(c.r, w.Header())
 	if a.held != nil {
-		p = e.Local.pass(w, a)
+		p = e.Local.relayAnswer(w, a)
 	} else {
 		p = relay(w, a.resp, nil)
 		a.resp.Body.Close()
 	}
-	if p.partial || p.gone {
+	if p.partial || p.readerGone {
 		c.body.abort()
 	}
 }
@@ -52,12 +52,12 @@
 	if c.class != nil {
 		c.class.Refused(e.Now(), r.Reason)
 	} else {
-		e.Meters.Unmatched(r.Reason)
+		e.Meters.RefusedUnmatched(r.Reason)
 	}
 	e.logRefusal(c, r)
 	e.returning.recordRefusal(e.Now(), c, r.RetryAfter)
-	c.body.answering(c.r, w.Header())
-	writeRefused(w, r, e.Dialect)
+	c.body.closeUnlessRead(c.r, w.Header())
+	writeCallerRefusal(w, r, e.Dialect)
 }
 
 var finalValue = []string{"1"}
@@ -79,14 +79,14 @@
 // unknown answers that the call may have run.
 func (e *Entry) unknown(w http.ResponseWriter, c *entryCall) {
 	now := e.Now()
-	if kindOf(c.unknownErr) == unknownStore {
+	if unknownKindOf(c.unknownErr) == unknownStoreDown {
 		// This attempt was refused and isn't a failed answer.
 		c.class.Refused(now, call.ReasonStoreDown)
 	} else {
 		c.class.Answered(now, now.Sub(c.start), true)
 	}
 	e.logUnknown(now, c)
-	c.body.answering(c.r, w.Header())
+	c.body.closeUnlessRead(c.r, w.Header())
 	writeUnknown(w, c.unknownErr)
 }
 
@@ -96,7 +96,7 @@
 	switch {
 	case a.refusal != nil:
 		r.Refused = a.refusal.Reason
-	case a.err != nil && ofKey(kindOf(a.err)):
+	case a.err != nil && isEarlierSending(unknownKindOf(a.err)):
 		// An earlier call with the key may have run, but this attempt reached no
 		// backend server. A client that keeps resending a key with an unknown
 		// outcome must not count against the endpoint.
--- a/internal/proxy/entry_log.go
+++ b/internal/proxy/entry_log.go
@@ -56,11 +56,11 @@
 }
 
 // logAnswer logs an answer that was cut off, failed or late, and counts all others.
-func (e *Entry) logAnswer(now time.Time, c *entryCall, endpoint string, a *answer, p passed) {
+func (e *Entry) logAnswer(now time.Time, c *entryCall, endpoint string, a *answer, p relayResult) {
 	took, latencyTarget := now.Sub(c.start), c.target.AnswerWithin()
 	kind, text := decisions.Kind(""), ""
 	switch {
-	case p.partial || p.gone:
+	case p.partial || p.readerGone:
 		kind, text = decisions.Cut, "entry: the answer was cut off, or the caller left"
 	case a.resp.StatusCode >= http.StatusInternalServerError:
 		kind, text = decisions.Failed, "entry: relay a server error of the backend server"
--- a/internal/proxy/entry_run.go
+++ b/internal/proxy/entry_run.go
@@ -89,7 +89,7 @@
 		Now: now, Outcome: a.outcome(), Idempotent: c.target.Idempotent,
 		Attempt: c.attempts, Elapsed: now.Sub(c.start), Remaining: c.deadline.Sub(now),
 		Reached: c.reached, MaxReached: c.target.Attempts,
-		Refusal: a.refusal, BodyReplayable: c.body.reusable(),
+		Refusal: a.refusal, BodyReplayable: c.body.replayable(),
 		Final:         a.refusal != nil && a.refusal.Detail == detailDeep,
 		ParentRetried: c.parentRetried, TriedAll: e.Pickers.TriedAll(now, c.target, c.tried),
 		OneShot: e.returning.oneShot(c.target.Name), Overdue: c.overdue(now),
--- a/internal/proxy/key_test.go
+++ b/internal/proxy/key_test.go
@@ -18,12 +18,12 @@
 
 // keyedProgram is a program with one class and one workspace.
 type keyedProgram struct {
-	one
+	singleClass
 	keys *config.Keyring
 }
 
 func (k keyedProgram) Program() *Program {
-	return &Program{Matcher: k.one, Targets: k.one, Keys: k.keys}
+	return &Program{Matcher: k.singleClass, Targets: k.singleClass, Keys: k.keys}
 }
 
 func keyring(t *testing.T) *config.Keyring {
@@ -44,7 +44,7 @@
 	m.useOnly(0)
 	seen := make(recordingGate, 2)
 	m.dest[0].Gates = seen
-	m.dest[0].Programs = keyedProgram{one{bookings()}, keyring(t)}
+	m.dest[0].Programs = keyedProgram{singleClass{bookings()}, keyring(t)}
 	m.entry.Programs = m.dest[0].Programs
 	m.entry.Retrier = RetryUpTo(1)
 	if _, _, err := m.call("POST", "/launch", "x", headerAuthorization, "Bearer "+harbourKey); err != nil {
@@ -100,7 +100,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var got http.Header
 			m := newMesh(t, tt.target, func(_ http.ResponseWriter, r *http.Request) { got = r.Header })
-			m.entry.Programs = keyedProgram{one{tt.target}, keyring(t)}
+			m.entry.Programs = keyedProgram{singleClass{tt.target}, keyring(t)}
 			resp, _, err := m.call("POST", "/launch", "x", headerAuthorization, tt.given, headerWorkspace, "forged")
 			if err != nil || resp.StatusCode != tt.status {
 				t.Fatalf("%v %v", resp, err)
@@ -139,7 +139,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) {})
-			m.entry.Programs = keyedProgram{one{bookings()}, keyring(t)}
+			m.entry.Programs = keyedProgram{singleClass{bookings()}, keyring(t)}
 			m.entry.Workspaces = tt.quotas
 			resp, _, err := m.call("POST", "/launch", "x", headerAuthorization, "Bearer "+harbourKey)
 			if err != nil || resp.StatusCode != tt.status || resp.Header.Get(call.HeaderNotRun) != string(tt.reason) {
@@ -155,14 +155,14 @@
 // Guards against calls that were not run and still count against the quota.
 func TestRefusedCallIsRefunded(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
-	m.entry.Programs = keyedProgram{one{bookings()}, keyring(t)}
+	m.entry.Programs = keyedProgram{singleClass{bookings()}, keyring(t)}
 	q := new(fakeQuotas)
 	m.entry.Workspaces = q
 	key := []string{headerAuthorization, "Bearer " + harbourKey}
 	if resp, _, err := m.call("POST", "/launch", "x", key...); err != nil || resp.StatusCode != http.StatusOK || q.counted != 1 {
 		t.Fatalf("%v %v, counted %d", resp, err, q.counted)
 	}
-	m.picks.Set(nil)
+	m.picker.Set(nil)
 	if resp, _, err := m.call("POST", "/launch", "x", key...); err != nil || resp.StatusCode != http.StatusServiceUnavailable || q.counted != 1 {
 		t.Fatalf("%v %v, counted %d", resp, err, q.counted)
 	}
--- a/internal/proxy/overloaded_endpoint_test.go
+++ b/internal/proxy/overloaded_endpoint_test.go
@@ -27,9 +27,9 @@
 func TestOnlyEndpointIsTriedOnceWhenFull(t *testing.T) {
 	for _, lone := range []bool{true, false} {
 		m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-		m.entry.Retrier = policied{retry.New(retry.Options{})}
-		m.entry.Pickers = wrapAroundPickers{m.picks}
-		m.picks.next.Store(^uint64(0))
+		m.entry.Retrier = policyRetrier{retry.New(retry.Options{})}
+		m.entry.Pickers = wrapAroundPickers{m.picker}
+		m.picker.next.Store(^uint64(0))
 		gate := new(overloadedGate)
 		m.dest[0].Gates = gate
 		if lone {
--- a/internal/proxy/pinned_test.go
+++ b/internal/proxy/pinned_test.go
@@ -53,9 +53,9 @@
 	for pinned := range 2 {
 		for first := range uint64(2) {
 			m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-			m.entry.Suspects = listed{quarantine.New(time.Now(), quarantine.Options{Self: "vm9"})}
-			m.entry.Retrier = policied{retry.New(retry.Options{})}
-			m.picks.next.Store(first)
+			m.entry.Suspects = listSuspects{quarantine.New(time.Now(), quarantine.Options{Self: "vm9"})}
+			m.entry.Retrier = policyRetrier{retry.New(retry.Options{})}
+			m.picker.next.Store(first)
 			var ranAtPinned, ranElsewhere atomic.Int64
 			m.dest[pinned].Suspects = pinningSuspects{accepts: true, ran: &ranAtPinned}
 			m.dest[1-pinned].Suspects = pinningSuspects{ran: &ranElsewhere}
@@ -72,8 +72,8 @@
 func TestPinnedRefusalsAreLimited(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
 	m.entry.Suspects = suspectAll{}
-	m.entry.Retrier = policied{retry.New(retry.Options{})}
-	m.entry.Pickers = wrapAroundPickers{m.picks}
+	m.entry.Retrier = policyRetrier{retry.New(retry.Options{})}
+	m.entry.Pickers = wrapAroundPickers{m.picker}
 	var ran atomic.Int64
 	m.dest[0].Suspects, m.dest[1].Suspects = pinningSuspects{ran: &ran}, pinningSuspects{ran: &ran}
 	resp, body, err := m.call("POST", "/", "x")
@@ -86,8 +86,8 @@
 // three seconds because it broke at two endpoints.
 func TestHeldBackRequestIsRetryable(t *testing.T) {
 	m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	m.entry.Suspects = listed{quarantine.New(time.Now(), quarantine.Options{Self: "vm9"})}
-	for i := range m.eps {
+	m.entry.Suspects = listSuspects{quarantine.New(time.Now(), quarantine.Options{Self: "vm9"})}
+	for i := range m.endpoints {
 		m.useOnly(i)
 		if resp, _, err := m.call("POST", "/", "x"); err != nil || resp.StatusCode != http.StatusBadGateway {
 			t.Fatalf("got %v %v", resp, err)
--- a/internal/proxy/report_test.go
+++ b/internal/proxy/report_test.go
@@ -12,9 +12,9 @@
 // Each time the node beside the backend server says at once that its outcome is
 // not known. The entry node counted each as a failed call and left the endpoint
 // out, which had run all that reached it well.
-func TestUnknownKeyDoesNotEjectTheEndpoint(t *testing.T) {
+func TestUnknownKeyDoesNotEjectEndpoint(t *testing.T) {
 	for kind, eject := range map[unknownKind]bool{
-		unknownKey: false, unknownNotKept: false, unknownStore: false, unknownLost: true, unknownWaited: true,
+		unknownKeyOutcome: false, unknownNotStored: false, unknownStoreDown: false, unknownLost: true, unknownTimeout: true,
 	} {
 		t.Run(string(kind), func(t *testing.T) {
 			now := time.Unix(1000, 0)
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -44,7 +44,7 @@
 		header[headerNoWait] = noWaitValue
 	}
 	if e.Local != nil {
-		e.Local.Link.setRate(header)
+		e.Local.Link.setLinkRate(header)
 	}
 	a := e.Upstreams.send(ctx, now, &outbound{
 		in: c.r, header: header, body: &c.body, addr: ep.Addr, vm: ep.VM, answerTimeout: h.left, stallTimeout: stallTimeoutOf(c.target),
@@ -82,7 +82,7 @@
 	if e.NoAttemptTimeout {
 		return left
 	}
-	if c.target.Idempotent && c.attempts == 1 && c.body.reusable() {
+	if c.target.Idempotent && c.attempts == 1 && c.body.replayable() {
 		return min(left, max(left/2, c.target.AnswerWithin()*3/2))
 	}
 	return left
@@ -104,7 +104,7 @@
 	}
 	a.load = parseLoad(a.resp.Header)
 	a.linkWait = wait
-	a.took = parseTook(a.resp.Header)
+	a.took = parseDestinationTimes(a.resp.Header)
 	dropHopByHop(a.resp.Header)
 	dropInternal(a.resp.Header)
 	return a
--- a/internal/proxy/slot_search.go
+++ b/internal/proxy/slot_search.go
@@ -82,7 +82,7 @@
 // A keyed call doesn't, since each offer would claim its key by a write to the platform. Nor does a
 // suspect request, whose endpoint is fixed.
 func (c *entryCall) maySearch() bool {
-	if c.attempts > 0 || c.isolated || !c.body.reusable() || c.body.length > maxSearchBody {
+	if c.attempts > 0 || c.isolated || !c.body.replayable() || c.body.length > maxSearchBody {
 		return false
 	}
 	return c.target.Idempotent || first(c.r.Header, call.HeaderKey) == ""
--- a/internal/proxy/slot_search_test.go
+++ b/internal/proxy/slot_search_test.go
@@ -45,7 +45,7 @@
 		retried = r.Header["Marlpass-Retried"]
 		io.WriteString(w, "ok")
 	})
-	m.entry.Pickers = searchingPickers{m.picks}
+	m.entry.Pickers = searchingPickers{m.picker}
 	m.entry.Retrier = RetryUpTo(1)
 	full := new(busyGate)
 	m.dest[0].Gates = full
@@ -67,7 +67,7 @@
 // without being refused. After many such calls the search stops; it resumes once slots are free.
 func TestSearchStopsWhenAllEndpointsAreFull(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	m.entry.Pickers = searchingPickers{m.picks}
+	m.entry.Pickers = searchingPickers{m.picker}
 	full := new(busyGate)
 	m.dest[0].Gates, m.dest[1].Gates = full, full
 	free := m.entry.freeSlots.of(testService)
@@ -104,7 +104,7 @@
 // offer.
 func TestKeyedCallDoesNotSearch(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	m.entry.Pickers = searchingPickers{m.picks}
+	m.entry.Pickers = searchingPickers{m.picker}
 	full := new(busyGate)
 	m.dest[0].Gates, m.dest[1].Gates = full, full
 	if resp, _, err := m.call("POST", "/book", "slip 3", call.HeaderKey, "k1"); err != nil || resp.StatusCode != http.StatusOK {
