--- a/internal/proxy/toolong_test.go
+++ b/internal/proxy/body_limit_test.go
@@ -10,7 +10,7 @@
 	"github.com/marlpass/marlpass/internal/quarantine"
 )
 
-// bounded is one class whose callers may send only so much.
+// boundedClass is a single class with a limit on request bodies.
 type boundedClass struct {
 	singleClass
 	maxBody int64
@@ -22,10 +22,9 @@
 	return p
 }
 
-// A caller sends a survey of 200 KB where operators allow 100 KB. The one that
-// announces its length is told so before a backend server is asked. The other, sent
-// in chunks, is known too late: it must neither be passed on whole nor be taken for
-// a request that crashes backend servers.
+// A body over the limit is refused before a backend server is called if its length is announced. A
+// chunked one is detected too late for that: it must neither be forwarded whole nor count as a
+// request that crashes backend servers.
 func TestBodyOverSizeLimit(t *testing.T) {
 	whole := make(chan bool, 4)
 	m := newMesh(t, bookings(), func(_ http.ResponseWriter, r *http.Request) {
@@ -44,14 +43,14 @@
 		t.Fatalf("%v %v %s", err, resp, body)
 	}
 	if m.runs.Load() > 0 && <-whole {
-		t.Error("the backend server took the cut body for a whole one")
+		t.Error("the backend server received a truncated body as complete")
 	}
 	if resp, body, err = m.chunked(survey[:90<<10]); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("%v %v %s", err, resp, body)
 	}
 }
 
-// chunked makes a call whose length is not announced.
+// chunked makes a call without announced length.
 func (m *mesh) chunked(body string) (*http.Response, string, error) {
 	m.t.Helper()
 	r, err := http.NewRequest(http.MethodPost, m.public.URL, io.MultiReader(strings.NewReader(body)))
@@ -61,7 +60,7 @@
 	return m.do(r)
 }
 
-// innocents fails its test when a request is taken for one that crashes.
+// noCrashSuspects fails its test if a request is suspected of a crash.
 type noCrashSuspects struct {
 	suspectAll
 	t *testing.T
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// deadlines counts the read deadlines that are set on its connection.
+// deadlineCounter counts the read deadlines set on its connection.
 type deadlineCounter struct {
 	*httptest.ResponseRecorder
 	set int
@@ -22,11 +22,9 @@
 	return nil
 }
 
-// A survey photo is refused by the backend server before all of it was sent,
-// and its caller books a launch on the same connection. Then the transport
-// closes the connection onwards, on which the rest of the photo was to go, and
-// with it ended the reading from the caller: the launch was cut off while it
-// ran, and nobody could tell its caller whether it had.
+// Guards against an upstream connection that is closed after its call was refused early and, with
+// the unsent rest of the body, aborts the reading of the next call on the caller's connection. That
+// call was cut off while it ran, and its outcome was unknown.
 func TestUpstreamCloseSparesCallersNextCall(t *testing.T) {
 	for name, over := range map[string]bool{"in the call": false, "after it": true} {
 		t.Run(name, func(t *testing.T) {
@@ -43,16 +41,15 @@
 			}
 			c.Close()
 			if w.set != want {
-				t.Errorf("the caller's connection was given %d deadlines, want %d", w.set, want)
+				t.Errorf("%d read deadlines on the caller's connection, want %d", w.set, want)
 			}
 		})
 	}
 }
 
-// A large upload is refused unread by an endpoint that is draining, and goes to the next
-// one. Only then does the transport close the connection to the first, as the refusal said
-// that it ends. That ended the reading from the caller, half of the upload was lost under
-// way, and the caller was told "may have run" of a call that nothing was wrong with.
+// Guards against a large upload that is cut on its way to the second endpoint: the transport closes
+// the connection to the draining first endpoint after the refusal, which aborted the reading from
+// the caller. The caller got "may have run" for a call that nothing was wrong with.
 func TestRefusedConnectionCloseSparesNextAttempt(t *testing.T) {
 	w := &deadlineCounter{ResponseRecorder: httptest.NewRecorder()}
 	r := httptest.NewRequest("POST", "/", strings.NewReader("photo"))
@@ -71,13 +68,13 @@
 	}
 }
 
-// cutReader fails as net/http does whose read deadline has passed.
+// timedOutReader fails like net/http after a passed read deadline.
 type timedOutReader struct{}
 
 func (timedOutReader) Read([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 
-// An endpoint dies under an upload. The node ends the reading from the caller by a deadline
-// in the past, and its log said "i/o timeout": it looked as if the caller had been slow.
+// Guards against a misleading log: when an endpoint dies under an upload, the node interrupts the
+// read by a deadline in the past, and "i/o timeout" looked like a slow caller.
 func TestAbortedBodyErrorNamesConnection(t *testing.T) {
 	r := httptest.NewRequest("POST", "/", timedOutReader{})
 	b := newStreamBody(&deadlineCounter{ResponseRecorder: httptest.NewRecorder()}, r, 0)
@@ -90,12 +87,9 @@
 	}
 }
 
-// A booking is refused before its body was read, and its caller sends the next
-// one on the same connection. net/http breaks that connection after the answer
-// without a word ("invalid concurrent Body.Read call"), since the node lets
-// answers begin before the body has ended. The next booking met the break, and
-// its caller could not know whether it ran. The answer must say that the
-// connection ends, and only then.
+// Guards against the loss of a caller's next call after a refusal that left its body unread. In
+// full duplex net/http breaks that connection without notice after the answer ("invalid concurrent
+// Body.Read call"). The answer must announce the end of the connection, in this case only.
 func TestEarlyAnswerClosesConnection(t *testing.T) {
 	m, _ := newKeyedMesh(t, func(_ http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
 	for name, c := range map[string]struct {
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -7,8 +7,7 @@
 	"testing"
 )
 
-// A VM is stopped on plan while a long download runs. The download must end
-// whole, and calls that come meanwhile go elsewhere.
+// A planned shutdown must let a running download finish, while new calls go to another endpoint.
 func TestDrainCompletesRunningCalls(t *testing.T) {
 	begun, finish := make(chan struct{}), make(chan struct{})
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, r *http.Request) {
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -17,9 +17,8 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// A trader pulls an archive and the backend server dies half way. Had the node
-// ended its answer as usual, the trader would take half an archive for the
-// whole: the node must break the connection instead.
+// Guards against a truncated answer that looks complete: when the backend server dies in the middle
+// of an answer, the node must break the caller's connection.
 func TestTruncatedAnswerAbortsConnection(t *testing.T) {
 	for _, length := range []string{"100000", ""} {
 		t.Run("length "+length, func(t *testing.T) {
@@ -39,9 +38,8 @@
 	}
 }
 
-// A clerk's connection breaks in the middle of an upload. Had the node ended
-// the request to the backend server as usual, half a submission would be
-// stored as a whole one.
+// Guards against half an upload that is stored as a whole one: when the caller's connection breaks,
+// the request to the backend server must not end normally.
 func TestTruncatedRequestAbortsUpstream(t *testing.T) {
 	ended := make(chan error, 1)
 	m := newMesh(t, bookings(), func(_ http.ResponseWriter, r *http.Request) {
@@ -56,12 +54,12 @@
 	io.WriteString(c, "POST /submit HTTP/1.1\r\nHost: x\r\nContent-Length: 200000\r\n\r\n"+strings.Repeat("x", 100000))
 	c.Close()
 	if err := <-ended; err == nil {
-		t.Fatal("the backend server saw a whole request")
+		t.Fatal("the backend server received a complete request")
 	}
 }
 
-// flaky is a server that answers the first request on each connection and
-// closes the connection on the second one, having read it.
+// closingServer answers the first request on each connection, and closes the connection after
+// reading the second one.
 type closingServer struct {
 	net.Listener
 	requests atomic.Int64
@@ -101,10 +99,8 @@
 	}
 }
 
-// An owner's booking reaches the backend server over a connection that was used
-// before, the backend server runs it and dies before it answers. net/http sees
-// a broken reused connection and an Idempotency-Key, takes the booking for one
-// that can be sent again, and it is run twice.
+// Guards against net/http's own replay: if a reused connection breaks, it sends a bodyless request
+// with a safe method or an Idempotency-Key again, although the backend server may have run it.
 func TestTransportCannotReplay(t *testing.T) {
 	for _, tt := range []struct {
 		method string
@@ -130,7 +126,7 @@
 				t.Fatal(err)
 			}
 			if n := f.requests.Load(); n != 2 {
-				t.Fatalf("the backend server saw %d requests, want 2", n)
+				t.Fatalf("the backend server received %d requests, want 2", n)
 			}
 			if resp.StatusCode != http.StatusBadGateway || resp.Header.Get(call.HeaderNotRun) != "" {
 				t.Fatalf("got %d, not run: %q", resp.StatusCode, resp.Header.Get(call.HeaderNotRun))
@@ -139,8 +135,8 @@
 	}
 }
 
-// The trap that TestTransportCannotReplay guards against is still there: if
-// net/http ever stops replaying, the guard can go.
+// Shows that net/http still replays such requests. If this fails, the guard tested by
+// TestTransportCannotReplay is no longer needed.
 func TestPlainTransportReplays(t *testing.T) {
 	f := newClosingServer(t)
 	c := &http.Client{Transport: &http.Transport{}}
@@ -157,13 +153,12 @@
 		resp.Body.Close()
 	}
 	if n := f.requests.Load(); n != 3 {
-		t.Fatalf("the server saw %d requests, want 3: one was replayed", n)
+		t.Fatalf("the server received %d requests, want 3: one was replayed", n)
 	}
 }
 
-// A backend server runs a booking, and on its way calls another service, which
-// refuses. It answers 503 and copies the headers of that refusal. A node that
-// believed them would run the booking again.
+// Guards against a second run of a booking whose backend server ran it, was refused by another
+// service, and copied the headers of that refusal to its own answer.
 func TestCopiedRefusalIsIgnored(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(call.HeaderNotRun, string(call.ReasonOverloaded))
@@ -178,12 +173,12 @@
 		t.Fatalf("run %d times", n)
 	}
 	if got := resp.Header.Get(call.HeaderNotRun); got != "" {
-		t.Fatalf("the caller was told that the call was not run: %s", got)
+		t.Fatalf("reported as not run: %s", got)
 	}
 }
 
-// A backend server that is out of slots refuses a booking with the nonce of
-// the attempt. Nothing was run, so the booking goes to the next endpoint.
+// A refusal with the nonce of the attempt means that nothing was run, so the call goes to the next
+// endpoint.
 func TestRefusalWithNonceIsRetried(t *testing.T) {
 	var refused atomic.Bool
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, r *http.Request) {
@@ -200,19 +195,17 @@
 	}
 }
 
-// An upload of survey photos is too large to keep, and the first endpoint is
-// draining. It refuses before any of the body was sent, so the upload goes to
-// the next endpoint whole. At times it was cut there and ended with 502: a moment after
-// the refusal the transport closes the connection to the first endpoint, and that ended the
-// reading from the caller. The lines of 128 failures in 2,000 runs all told of the attempt
-// behind a refusal, 14 of them with "i/o timeout", which is the deadline that ends the reading.
+// Guards against an upload, too large to buffer, that a draining endpoint refuses unread and that
+// is then cut at the next endpoint. The transport closes the connection to the first endpoint after
+// the refusal, which aborted the reading from the caller: 128 of 2,000 runs failed, all in the
+// attempt after a refusal, 14 of them with the "i/o timeout" of the aborting deadline.
 func TestRefusedUploadIsRetriedElsewhere(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, r *http.Request) {
 		n, _ := io.Copy(io.Discard, r.Body)
 		io.WriteString(w, strconv.FormatInt(n, 10)+r.Header.Get("Expect"))
 	})
 	m.dest[0].Drain()
-	for range 2 { // whichever endpoint comes first
+	for range 2 { // in either order of the endpoints
 		_, body, err := m.call("POST", "/photos", strings.Repeat("x", 4*maxBufferedBody))
 		if err != nil || body != strconv.Itoa(4*maxBufferedBody) {
 			t.Fatalf("got %q %v", body, err)
@@ -220,12 +213,11 @@
 	}
 }
 
-// An idempotent lookup breaks at one endpoint, is sent again, and the next
-// endpoint refuses it. The refusal is true of the second attempt only: the
-// first may have run, so the caller must not be told "not run".
+// Guards against a wrong "not run": a refused second attempt says nothing about a lost first
+// attempt, which may have run.
 func TestRefusalAfterLostAttemptIsUnknown(t *testing.T) {
 	m := newMesh(t, lookups(), func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	m.picker.next.Store(^uint64(0)) // the next pick is dest[0]
+	m.picker.next.Store(^uint64(0)) // picks dest[0] next
 	m.dest[1].Drain()
 	resp, _, err := m.call("GET", "/", "")
 	if err != nil {
@@ -239,8 +231,7 @@
 	}
 }
 
-// Both VMs that hold a service are replaced. No connection can be made, so no
-// byte of the booking was sent, and the caller may be told that it was not run.
+// If no connection can be made, no byte was sent, and the call is reported as not run.
 func TestUnreachableIsNotRun(t *testing.T) {
 	m := newMesh(t, bookings(), nil)
 	for _, s := range m.nodes {
@@ -258,8 +249,7 @@
 	}
 }
 
-// A caller closes its connection while the backend server works. The work is
-// of no use any more, and the backend server must learn so.
+// When a caller closes its connection, the backend server's request must be canceled.
 func TestCancellationReachesBackend(t *testing.T) {
 	begun, ended := make(chan struct{}), make(chan struct{})
 	m := newMesh(t, lookups(), func(_ http.ResponseWriter, r *http.Request) {
@@ -279,8 +269,8 @@
 	<-ended
 }
 
-// Each hop grants the next one what is left, and never more: else a chain of
-// fifteen would work on for a caller that has long given up.
+// Each hop must pass on less time than it received. Otherwise a chain of fifteen hops works on for
+// a caller that has long left.
 func TestDeadlineShrinks(t *testing.T) {
 	seen := make(chan string, 1)
 	m := newMesh(t, bookings(), func(_ http.ResponseWriter, r *http.Request) {
@@ -291,7 +281,7 @@
 	}
 	ms, err := strconv.Atoi(<-seen)
 	if err != nil || ms <= 0 || ms >= 5000 {
-		t.Fatalf("the backend server was granted %d ms of 5000, %v", ms, err)
+		t.Fatalf("the backend server received %d ms of 5000, %v", ms, err)
 	}
 	resp, _, err := m.call("POST", "/", "x", call.HeaderDeadline, "0")
 	if err != nil || resp.Header.Get(call.HeaderNotRun) != string(call.ReasonExpired) {
@@ -299,8 +289,8 @@
 	}
 }
 
-// An entry node that lags behind sends a booking to a VM whose backend server
-// is gone. That node must not hand it to whatever it holds now.
+// Guards against a call that an entry node with stale data sends to a VM without its backend
+// server, and that runs at another backend server there.
 func TestServiceNotHeldIsRefused(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
 	m.dest[0].Backends = fixedBackends{{Service: "surveys", Addr: "127.0.0.1:1", State: membership.BackendReady}}
@@ -311,7 +301,7 @@
 	if rec.Code != http.StatusMisdirectedRequest || rec.Header().Get(call.HeaderNotRun) != string(call.ReasonNotHeld) {
 		t.Fatalf("got %d %v", rec.Code, rec.Header())
 	}
-	for range 4 { // the entry node goes on to the one that holds it
+	for range 4 { // the entry node retries at the node that has the service
 		resp, body, err := m.call("POST", "/book", "x")
 		if err != nil || body != "ok" {
 			t.Fatalf("got %v %q %v", resp, body, err)
@@ -319,10 +309,8 @@
 	}
 }
 
-// A caller has sent part of an upload and pauses, and the destination node
-// dies. net/http waits for its writer, which waits for the caller: without the
-// guard in streamBody the caller would wait for the node and the node for the
-// caller.
+// Guards against a deadlock: the destination breaks while the caller pauses in its upload. net/http
+// waits for its writer, which waits for the caller, which waits for the node.
 func TestBrokenUploadIsAnswered(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, r *http.Request) {
 		r.Body.Read(make([]byte, 1))
@@ -344,8 +332,7 @@
 	}
 }
 
-// As above, but the answer has begun when the backend server dies. The caller
-// must see it break off although it has not sent all of its upload.
+// As above, but the answer has begun. The caller must see it break off before its upload has ended.
 func TestBrokenStreamIsAborted(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, r *http.Request) {
 		http.NewResponseController(w).EnableFullDuplex()
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -15,7 +15,7 @@
 	"github.com/marlpass/marlpass/internal/limit"
 )
 
-// memoryKeeper keeps claims in memory.
+// memoryClaims keeps claims in memory.
 type memoryClaims struct {
 	mu     sync.Mutex
 	stored map[string]*Stored // nil while claimed
@@ -73,9 +73,8 @@
 	return m, k
 }
 
-// A clerk's connection breaks after the submission was sent, and the clerk
-// sends it again. The first run goes on without its caller, and the second
-// sending gets its answer.
+// If the caller's connection breaks after the call was sent, the call runs on, and a resend gets
+// the answer of that run.
 func TestKeyedCallOutlivesItsCaller(t *testing.T) {
 	begun, finish := make(chan struct{}), make(chan struct{})
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -105,9 +104,8 @@
 	}
 }
 
-// The backend server dies while it runs a submission. Nobody knows whether it
-// took effect: the claim stands, and a resend is told "unknown", not run again
-// and not "not run".
+// If the backend server dies during a keyed call, its outcome is unknown. The claim stays, and a
+// resend is neither run again nor reported as not run.
 func TestLostKeyedCallStaysUnknown(t *testing.T) {
 	m, k := newKeyedMesh(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	for i, want := range []int{http.StatusBadGateway, http.StatusConflict} {
@@ -124,8 +122,7 @@
 	}
 }
 
-// The answer to a submission was larger than what is kept. A resend must not
-// get the head of that answer as if it were the whole.
+// Guards against a resend that gets the beginning of an answer, too large to store, as the whole.
 func TestTooLargeKeyedAnswerIsNotTruncated(t *testing.T) {
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, strings.Repeat("x", maxStoredBody+1))
@@ -144,8 +141,8 @@
 	}
 }
 
-// A backend server refuses a keyed call. The claim is given up, so that the
-// next attempt, at another node, can take it.
+// When a backend server refuses a keyed call, the claim is released so that the next attempt, at
+// another node, can take it.
 func TestRefusedKeyedCallIsAbandoned(t *testing.T) {
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(call.HeaderRefused, r.Header.Get(call.HeaderAttempt))
@@ -162,8 +159,7 @@
 	}
 }
 
-// The answer to a keyed call is kept for its resends, but a key says nothing
-// for a class that may run twice anyway.
+// An idempotency key has no effect on an idempotent class.
 func TestKeyOfIdempotentClassIsForwarded(t *testing.T) {
 	m := newMesh(t, lookups(), func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, r.Header.Get("Idempotency-Key"))
@@ -190,7 +186,7 @@
 	}
 }
 
-// downKeeper is a keeper whose platform cannot be reached once down is set.
+// unavailableClaims cannot reach its platform once down is set.
 type unavailableClaims struct {
 	*memoryClaims
 	down bool
@@ -203,9 +199,8 @@
 	return k.memoryClaims.Begin(ctx, c)
 }
 
-// A launch charge runs and its answer is lost. Its caller sends it again, and
-// meanwhile the platform went down. No node can tell whether the key ran. The
-// caller was told "not run", and charged the family anew.
+// Guards against a second charge: the first sending may have run, and its resend during a platform
+// outage was reported as "not run", so that the caller charged anew under another key.
 func TestResendDuringPlatformOutageIsUnknown(t *testing.T) {
 	m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	k := &unavailableClaims{memoryClaims: newMemoryClaims()}
@@ -218,16 +213,15 @@
 		t.Fatalf("got %v, %v", resp, err)
 	}
 	if why := resp.Header.Get(call.HeaderNotRun); why != "" || strings.Contains(body, `"not_run":true`) {
-		t.Errorf("told not run: %q %s", why, body)
+		t.Errorf("reported as not run: %q %s", why, body)
 	}
 	if !strings.Contains(body, string(call.ReasonStoreDown)) || m.runs.Load() != 1 {
-		t.Errorf("told %s, run %d times", body, m.runs.Load())
+		t.Errorf("got %s, run %d times", body, m.runs.Load())
 	}
 }
 
-// Many callers upload at once, and a node has no memory left to keep another
-// body. An owner's booking with a key and a short body was then answered 400,
-// mend it, and was lost; it has to be told that there is no room now.
+// Guards against a keyed call with a short body that was answered 400, which is permanent, while
+// many uploads used up the memory for buffered bodies. It must be refused as overloaded.
 func TestKeyedCallWithExhaustedBodyBudgetIsOverloaded(t *testing.T) {
 	m, _ := newKeyedMesh(t, func(http.ResponseWriter, *http.Request) {})
 	for _, d := range m.dest {
@@ -241,9 +235,8 @@
 	}
 }
 
-// A backend server answers a submission with a status that HTTP does not have,
-// and net/http panics when it is passed on. The caller got no answer, yet "no
-// answer" was recorded as the whole one, and every resend met the same panic.
+// Guards against an answer with an invalid status, on which net/http panics while it is relayed. An
+// empty answer was then recorded as complete, and every resend hit the same panic.
 func TestInvalidStatusIsRecordedAsLost(t *testing.T) {
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, _ *http.Request) {
 		c, _, err := http.NewResponseController(w).Hijack()
@@ -262,7 +255,7 @@
 	}
 }
 
-// fullOnce is a gate that has no room for the first call of all that share all.
+// overloadedOnceGate refuses the first call of all gates that share all.
 type overloadedOnceGate struct {
 	FixedLimit
 	all   *atomic.Int64
@@ -277,10 +270,9 @@
 	return g.FixedLimit.Acquire(ctx, b, t, times)
 }
 
-// The platform is down and a class runs under the guard of the node that its
-// key names. That node had no room for a moment, so the booking was sent on and
-// ran beside another. Its answer was lost, the resend went to the node that the
-// key names, which knew nothing of the key, and the booking ran a second time.
+// Guards against a second run under the local guard during a platform outage. The guarding node,
+// which the key selects, was briefly full, and the call ran at another node and its answer was
+// lost. The resend went to the selected node, which had no record of the key.
 func TestLocallyGuardedCallStaysAtOneNode(t *testing.T) {
 	target := bookings()
 	target.OnStoreDown = config.OnStoreDownLocalGuard
@@ -301,15 +293,13 @@
 	m.useAll()
 	for _, key := range []string{"k1", "k2", "k3", "k4"} {
 		if resp, _, err := m.call("POST", "/", "x", "Idempotency-Key", key); err != nil || resp.StatusCode != http.StatusOK {
-			t.Errorf("%s beside a node that drains: %v, %v", key, resp, err)
+			t.Errorf("%s with one node draining: %v, %v", key, resp, err)
 		}
 	}
 }
 
-// A clerk's client sends a submission with a key to a path that answers with an
-// endless stream, and leaves. The call ran on for its resends, for as long as the
-// backend server sent: it held its slot, and no planned stop could end. It must
-// end at its deadline.
+// Guards against a keyed call with an endless answer whose caller has left: it ran on for its
+// resends, held its slot and blocked planned shutdowns. It must end at its deadline.
 func TestEndlessAnswerEndsAtDeadline(t *testing.T) {
 	var over atomic.Bool
 	m, k := newKeyedMesh(t, func(w http.ResponseWriter, r *http.Request) {
@@ -337,7 +327,7 @@
 	select {
 	case <-k.ended:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the call runs on")
+		t.Fatal("the call did not end")
 	}
 	if k.events[0] != "lost" {
 		t.Errorf("events %v", k.events)
--- a/internal/proxy/link_room_test.go
+++ b/internal/proxy/link_room_test.go
@@ -6,8 +6,8 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// Guards against a download that counts a busy link as an attempt, and so is refused after two
-// of them while other VMs have room.
+// Guards against a download that counts a busy link as an attempt, and so is refused after two of
+// them while other VMs have room.
 func TestSearchContinuesAfterLinkFull(t *testing.T) {
 	full := &answer{refusal: &call.Refusal{Reason: call.ReasonLinkFull}}
 	for look, want := range map[Look]bool{LookNear: true, LookFar: true, LookNot: false} {
--- a/internal/proxy/main_test.go
+++ b/internal/proxy/main_test.go
@@ -6,5 +6,5 @@
 	"github.com/marlpass/marlpass/internal/testseed"
 )
 
-// TestMain makes every run try the same cases.
+// TestMain fixes the random seed.
 func TestMain(m *testing.M) { testseed.Main(m, nil) }
--- a/internal/proxy/meters_test.go
+++ b/internal/proxy/meters_test.go
@@ -53,7 +53,7 @@
 	if last := f.Latency[len(f.Latency)-1].AtMost; calls != 100 || last < 100*time.Millisecond {
 		t.Fatalf("%d calls in the histogram, up to %v", calls, last)
 	}
-	// After a minute nothing of it is left, and the parts are used again.
+	// After a minute the counts are gone, and the windows are reused.
 	later := now.Add(windowCount * windowLength)
 	if f := m.Stats(later)[0]; f.Answered != 0 || len(f.Refused) != 0 {
 		t.Fatalf("a minute later: %+v", f)
--- a/internal/proxy/node_test.go
+++ b/internal/proxy/node_test.go
@@ -8,7 +8,7 @@
 	"github.com/marlpass/marlpass/internal/drain"
 )
 
-// testNode is the server for calls of a node, which stops on plan as internal/node does.
+// testNode is a node's server for calls, with the planned shutdown of internal/node.
 type testNode struct {
 	URL    string
 	Config *drain.Servers
@@ -37,5 +37,5 @@
 	}
 }
 
-// Close ends the node at once, and the calls that it has.
+// Close stops the node at once and aborts its calls.
 func (n *testNode) Close() { n.server.Close() }
--- a/internal/proxy/property_test.go
+++ b/internal/proxy/property_test.go
@@ -13,22 +13,22 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// fault is what a backend server does with one attempt.
+// fault is the behavior of a backend server in one attempt.
 type fault string
 
 const (
 	faultNone        fault = "answers"
 	faultRefuse      fault = "refuses with its nonce"
-	faultForgedNonce fault = "refuses with another nonce, having run it"
-	faultCrash       fault = "runs it and dies"
-	faultTruncate    fault = "runs it and dies in its answer"
-	faultSilent      fault = "runs it and falls silent"
-	faultReset       fault = "dies before it reads"
+	faultForgedNonce fault = "runs the call and refuses with a forged nonce"
+	faultCrash       fault = "runs the call and crashes"
+	faultTruncate    fault = "runs the call and crashes in its answer"
+	faultSilent      fault = "runs the call and does not answer"
+	faultReset       fault = "crashes before it reads"
 )
 
 var faults = []fault{faultNone, faultRefuse, faultForgedNonce, faultCrash, faultTruncate, faultSilent, faultReset}
 
-// script plays faults, one for each attempt in turn, and counts runs.
+// script yields one fault for each attempt, and counts runs.
 type script struct {
 	mu     sync.Mutex
 	faults []fault
@@ -73,12 +73,11 @@
 	}
 }
 
-// Whatever the backend servers do to the attempts of a call, and whichever
-// destinations are draining: a caller that is told "not run" was not run, a
-// call that is not idempotent ran at most once, and an answer that ends well is
-// whole.
+// Under any faults of the backend servers and any draining destinations: a call reported as "not
+// run" did not run, a call that is not idempotent ran at most once, and an answer that ends
+// normally is complete.
 func TestCallGuaranteesUnderFaults(t *testing.T) {
-	// Each call names its script: a late attempt must not play another's.
+	// Each call names its script, so that a late attempt cannot use another one.
 	var scripts sync.Map
 	play := func(w http.ResponseWriter, r *http.Request) {
 		s, _ := scripts.Load(r.Header.Get("X-Script"))
@@ -114,10 +113,10 @@
 			t.Fatalf("run %d times", s.runs)
 		}
 		if err != nil {
-			return // the answer was cut, and looked so
+			return // the answer was visibly truncated
 		}
 		if why := resp.Header.Get(call.HeaderNotRun); why != "" && s.runs > 0 {
-			t.Fatalf("told not run (%s), and run %d times", why, s.runs)
+			t.Fatalf("reported as not run (%s), but run %d times", why, s.runs)
 		}
 		if resp.StatusCode == http.StatusOK && body != "whole" {
 			t.Fatalf("got %q", body)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -14,7 +14,7 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// one is a program with a single class.
+// singleClass is a program with a single class.
 type singleClass struct{ t *config.Target }
 
 func (o singleClass) Match(_, path, _ string) (*config.Target, bool) {
@@ -30,7 +30,7 @@
 
 func (o singleClass) Program() *Program { return &Program{Matcher: o, Targets: o} }
 
-// held are the backend servers of one VM.
+// fixedBackends are the backend servers of one VM.
 type fixedBackends []Backend
 
 func (h fixedBackends) Find(service, instance string) (Backend, bool) {
@@ -42,8 +42,7 @@
 	return Backend{}, false
 }
 
-// mesh is an entry node, two destination nodes and a backend server on
-// loopback.
+// mesh is an entry node, two destination nodes and a backend server on loopback.
 type mesh struct {
 	t         *testing.T
 	entry     *Entry
@@ -60,11 +59,12 @@
 
 const testService = "berths"
 
-// bookings is not idempotent, lookups is.
+// bookings returns a class that is not idempotent.
 func bookings() *config.Target {
 	return &config.Target{Name: "bookings", Service: testService, Match: config.Match{PathPrefix: "/"}}
 }
 
+// lookups returns an idempotent class.
 func lookups() *config.Target {
 	t := bookings()
 	t.Name, t.Idempotent = "lookups", true
@@ -104,9 +104,10 @@
 	return m
 }
 
-// useAll gives the entry node both endpoints, useOnly one.
+// useAll gives the entry node both endpoints.
 func (m *mesh) useAll() { m.picker.Set(map[string][]Endpoint{testService: m.endpoints}) }
 
+// useOnly gives the entry node endpoint i alone.
 func (m *mesh) useOnly(i int) {
 	m.picker.Set(map[string][]Endpoint{testService: m.endpoints[i : i+1]})
 }
@@ -152,15 +153,14 @@
 		t.Fatalf("got %d %q, length %d", resp.StatusCode, body, resp.ContentLength)
 	}
 	if s := resp.Header.Get("X-Seen"); s != "POST /book?hull=7 127.0.0.1" {
-		t.Fatalf("the backend server saw %q", s)
+		t.Fatalf("the backend server received %q", s)
 	}
 	if resp.Header.Get("Marlpass-Load") != "" {
 		t.Fatal("a header between nodes reached the caller")
 	}
 }
 
-// A caller follows a bulletin that the backend server sends line by line, and
-// each line must reach it before the next is written, in both directions.
+// Each part of a stream must be forwarded before the next one is written, in both directions.
 func TestStreamBothWays(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, r *http.Request) {
 		http.NewResponseController(w).EnableFullDuplex()
--- a/internal/proxy/refusal_test.go
+++ b/internal/proxy/refusal_test.go
@@ -8,10 +8,9 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// A destination has room again in 150 ms. Told in whole seconds, between nodes, its
-// word was rounded up, and every refused caller came back a second later at the least:
-// later than its class aims at, whatever the queue. And most of what a busy mesh sent
-// between its data centres were the problem documents of such refusals.
+// Guards against refusals between nodes that round the retry time up to whole seconds, so that
+// every refused caller came back at least a second later and missed its target latency; and against
+// problem documents in them, which were most of the traffic between data centres under load.
 func TestNodeRefusalRoundTrip(t *testing.T) {
 	for _, want := range []call.Refusal{
 		{Reason: call.ReasonOverloaded, RetryAfter: 150 * time.Millisecond, Detail: "the wait would be too long"},
--- a/internal/proxy/report_test.go
+++ b/internal/proxy/report_test.go
@@ -8,10 +8,8 @@
 	"github.com/marlpass/marlpass/internal/route"
 )
 
-// A clerk's client sends a submission again and again whose first run was lost.
-// Each time the node beside the backend server says at once that its outcome is
-// not known. The entry node counted each as a failed call and left the endpoint
-// out, which had run all that reached it well.
+// Guards against the ejection of a healthy endpoint: resends of a key whose first run was lost are
+// answered with an unknown outcome, which counted as failed calls of the endpoint.
 func TestUnknownKeyDoesNotEjectEndpoint(t *testing.T) {
 	for kind, eject := range map[unknownKind]bool{
 		unknownKeyOutcome: false, unknownNotStored: false, unknownStoreDown: false, unknownLost: true, unknownTimeout: true,
@@ -36,7 +34,7 @@
 				t.Errorf("ejected: %v, want %v", ejected, eject)
 			}
 			if o := (&answer{err: &unknownError{kind}}).outcome(); o != call.Unknown {
-				t.Errorf("the caller is told %v", o)
+				t.Errorf("outcome %v", o)
 			}
 		})
 	}
--- a/internal/proxy/silent_body_test.go
+++ b/internal/proxy/silent_body_test.go
@@ -12,7 +12,7 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// oneConn is a listener that accepts one connection.
+// oneConnListener is a listener that accepts one connection.
 type oneConnListener struct {
 	conn net.Conn
 	done chan struct{}
@@ -30,10 +30,9 @@
 func (l *oneConnListener) Close() error   { close(l.done); return nil }
 func (l *oneConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A caller sent the header of a call with a small body, and no body. The call
-// held its memory for ever, past its deadline: 512 such callers took all the
-// memory for bodies that can be sent again, and a planned stop waited for each
-// until the drain limit.
+// Guards against a caller that sends the header of a call with a small body and then nothing. The
+// call held its memory past its deadline: 512 such callers exhausted the memory for buffered
+// bodies, and a planned shutdown waited for each until the drain limit.
 func TestCallWithStalledBodyExpires(t *testing.T) {
 	line := hop{class: "bookings", service: testService, instance: "a", left: 3 * time.Second}.String()
 	for name, c := range map[string]struct {
@@ -47,7 +46,7 @@
 			m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) {})
 			synctest.Test(t, func(t *testing.T) { silentBody(t, c.handler(m), c.header) })
 			if n := m.entry.kept.used.Load() + m.dest[0].bodies.used.Load(); n != 0 {
-				t.Errorf("%d bytes are still taken", n)
+				t.Errorf("%d bytes are still reserved", n)
 			}
 		})
 	}
--- a/internal/proxy/silent_test.go
+++ b/internal/proxy/silent_test.go
@@ -16,8 +16,8 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// forgetful is a listener behind something that forgets connections: those
-// accepted before forget take bytes and deliver none.
+// silencingListener is a listener behind a middlebox that drops connection state: connections
+// accepted before silence accept bytes and deliver none.
 type silencingListener struct {
 	net.Listener
 	epoch    atomic.Int64
@@ -41,8 +41,7 @@
 	epoch int64
 }
 
-// Read delivers nothing any more once the connection was forgotten. It ends like any other, by
-// a deadline or a close.
+// Read delivers nothing once the connection is silenced. A deadline or a close still ends it.
 func (c *silencedConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
@@ -52,10 +51,9 @@
 	}
 }
 
-// A switch forgets every open connection to a backend server; new ones work.
-// One booking waits out its deadline on a silent connection. The next one must
-// not find the other silent connection in the pool and wait as well, and no
-// connection is opened but for a call.
+// Guards against a second timeout after a switch silenced all connections to a backend server: once
+// one call timed out, the other idle connections must not be used, and no connection may be opened
+// without a call.
 func TestSilentConnectionsAreRetiredTogether(t *testing.T) {
 	var together sync.WaitGroup
 	together.Add(2)
@@ -98,8 +96,8 @@
 	}
 }
 
-// silentPool returns a pool with two idle connections to a server that has forgotten both,
-// and what sends a call that must be answered within wait.
+// silentPool returns the listener of a server to which two idle connections have been silenced, and
+// a function that sends a call that must be answered within wait.
 func silentPool(t *testing.T) (f *silencingListener, send func(ctx context.Context, wait time.Duration) answer) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -140,10 +138,8 @@
 	return f, send
 }
 
-// A switch forgets all connections to a backend server. The entry node counts the deadline
-// from an earlier moment than the destination and gives the call up first, so the
-// destination sees a caller that leaves. The next call must not find the other silent
-// connection and wait out a deadline as well.
+// Guards against a second timeout when the previous hop, whose deadline passes a little earlier,
+// cancels the call first: the destination must retire the silent connections all the same.
 func TestCancelAtDeadlineRetiresSilentConnections(t *testing.T) {
 	f, send := silentPool(t)
 	const bound = 300 * time.Millisecond
@@ -162,8 +158,8 @@
 	}
 }
 
-// A caller that leaves long before its deadline says nothing about connections: the idle
-// ones stay, or impatient callers would cost a busy backend server a new connection a call.
+// A cancel long before the deadline is no evidence against connections. If it retired the idle
+// ones, impatient callers would cost a busy backend server a new connection per call.
 func TestEarlyCancelRetiresNoConnections(t *testing.T) {
 	f, send := silentPool(t)
 	leaving, leave := context.WithCancel(t.Context())
@@ -179,9 +175,7 @@
 	}
 }
 
-// Something between node and backend server has forgotten the connection:
-// requests vanish and no answer comes. The caller gets its answer within the
-// deadline, and is not told that the call was not run.
+// A call on a silent connection must be answered within its deadline, and not as "not run".
 func TestSilentBackendTimesOut(t *testing.T) {
 	release := make(chan struct{})
 	m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) { <-release })
@@ -195,9 +189,8 @@
 	}
 }
 
-// The VM's call address takes connections and answers nothing, not even the
-// opening of a connection. An idempotent lookup keeps half of its time, and is
-// answered by the other endpoint.
+// If a node accepts connections but never answers, not even the handshake, an idempotent lookup
+// keeps half of its time and is answered by the other endpoint.
 func TestSilentNodeLeavesTimeForRetry(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/proxy/spool_test.go
+++ b/internal/proxy/spool_test.go
@@ -17,9 +17,8 @@
 	return &http.Response{StatusCode: http.StatusOK, ContentLength: length, Body: io.NopCloser(body), Header: http.Header{}}
 }
 
-// A backend server's answer breaks off in its middle. Passed on as it came, the
-// caller's connection had to be broken off as well; read first, the call can go to
-// another endpoint.
+// A truncated answer that was buffered can be retried at another endpoint; one that was relayed
+// while it arrived broke the caller's connection.
 func TestSpoolDetectsTruncatedAnswers(t *testing.T) {
 	s := NewSpool(1 << 20)
 	if tried, err := s.read(response(10, strings.NewReader("half"))); !tried || !errors.Is(err, errAnswerTruncated) {
@@ -42,8 +41,8 @@
 	}
 }
 
-// What must not be read whole: answers of unknown length, which may be endless,
-// those over the bound, and those for which there is no memory left.
+// Answers of unknown length, answers over the bound, and answers without memory left must not be
+// buffered.
 func TestSpoolSkipsUnboundedAnswers(t *testing.T) {
 	s := NewSpool(8)
 	for _, n := range []int64{-1, 0, 9, maxSpooledBytes + 1} {
@@ -56,13 +55,13 @@
 	}
 }
 
-// Downloads fill a slow link's queue, and lookups wait behind them. The first part
-// of each answer goes out at once; what follows keeps to the pace.
+// Guards against downloads that fill a slow link's queue and delay lookups: the first part of each
+// answer is sent at once, the rest is paced.
 func TestLinkPacesBulkOnly(t *testing.T) {
 	const bytesPerSecond = 1 << 20
 	l := NewLinkPacer(bytesPerSecond / bytesPerMbit)
 	ctx, cancel := context.WithCancel(context.Background())
-	cancel() // whoever waits for the pace is told so at once
+	cancel() // a wait for the pacer fails at once
 	w := httptest.NewRecorder()
 	small, err := l.pace(ctx, w, new(config.Target), 0, -1).Write(make([]byte, bulkThreshold))
 	if small != bulkThreshold || err != nil {
@@ -85,13 +84,13 @@
 	}
 }
 
-// An export of 280 KB should be there within 0.8 s over a link of 11 Mbit/s; a
-// picture of 90 KB has more time over one of 5. At a fixed part of the link, one of
-// the two is too late or the other keeps lookups waiting.
+// An export of 280 KB must arrive within 0.8 s over 11 Mbit/s, while a picture of 90 KB has more
+// time over 5 Mbit/s. With a fixed share of the link, the export is late or the picture delays
+// lookups.
 func TestAnswerRateFollowsTargetLatency(t *testing.T) {
 	for _, c := range []struct {
 		aimMS, size int64
-		mbps, want  float64 // parts of the link
+		mbps, want  float64 // want is a share of the link
 	}{
 		{800, 280_000, 11, 0.636},
 		{1000, 90_000, 5, 0.36},
--- a/internal/proxy/tracing_test.go
+++ b/internal/proxy/tracing_test.go
@@ -24,7 +24,7 @@
 	}
 	at := <-seen
 	if !strings.HasPrefix(at, traceParent[:36]) || at == traceParent {
-		t.Fatalf("the backend server saw %q", at)
+		t.Fatalf("the backend server received %q", at)
 	}
 	names := map[string]bool{}
 	for _, s := range rec.Started() {
@@ -38,8 +38,8 @@
 	}
 }
 
-// Without tracing the caller's context passes as it is, so that a trace of the
-// callers and the backend servers holds together.
+// Without tracing the caller's trace context is forwarded unchanged, so that traces of the callers
+// and the backend servers stay connected.
 func TestTraceContextPassesWithoutTracing(t *testing.T) {
 	seen := make(chan string, 1)
 	m := newMesh(t, bookings(), func(_ http.ResponseWriter, r *http.Request) { seen <- r.Header.Get("Traceparent") })
@@ -48,6 +48,6 @@
 		t.Fatal(err)
 	}
 	if at := <-seen; at != traceParent {
-		t.Fatalf("the backend server saw %q", at)
+		t.Fatalf("the backend server received %q", at)
 	}
 }
--- a/internal/proxy/quiet_test.go
+++ b/internal/proxy/unresponsive_test.go
@@ -16,16 +16,15 @@
 	"github.com/marlpass/marlpass/internal/retry"
 )
 
-// closed admits no call, as a node does that has just started.
+// notReadyAdmitter refuses every call, as a node that is still starting.
 type notReadyAdmitter struct{}
 
 func (notReadyAdmitter) Admit(time.Time, *config.Target) *call.Refusal {
 	return &call.Refusal{Reason: call.ReasonNotReady, RetryAfter: time.Second}
 }
 
-// A node was replaced and listens before it has its configuration. To an owner
-// it said that there is no such page, and the owner's program did not ask
-// another node. It must say that it is not ready.
+// Guards against a node that listens before it has its configuration and answers "no route", on
+// which a caller does not try another node. It must answer that it is not ready.
 func TestNodeWithoutConfigurationIsNotReady(t *testing.T) {
 	target := bookings()
 	target.Match.PathPrefix = "/berths"
@@ -40,8 +39,7 @@
 	}
 }
 
-// hanging is a gate whose slots are held by calls on silent connections: who
-// comes waits until its deadline.
+// blockedGate is a gate without free slots: every call waits until its deadline.
 type blockedGate struct{}
 
 func (blockedGate) Acquire(ctx context.Context, _ Backend, _ *config.Target, times limit.AcquireOptions) (Permit, error) {
@@ -55,17 +53,16 @@
 	}
 }
 
-// policied decides by the policy of one service.
+// policyRetrier applies one retry policy to all services.
 type policyRetrier struct{ p *retry.Policy }
 
 func (p policyRetrier) Called(string) { p.p.RecordCall() }
 
 func (p policyRetrier) Decide(_ string, in retry.Input) retry.Decision { return p.p.Decide(in) }
 
-// Connections to one backend server went silent, and the calls on them hold its
-// slots. A lookup waits in the queue for half of its time and is dropped there
-// as expired. Half of its time was left, and the other endpoint was idle, but
-// its caller was told that the deadline had passed.
+// Guards against a lookup that waits for half of its time in the queue of an endpoint whose slots
+// are held on silent connections, expires there, and is reported as past its deadline although time
+// is left and the other endpoint is idle.
 func TestLookupExpiredInOneQueueIsRetriedElsewhere(t *testing.T) {
 	m := newMesh(t, lookups(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
 	m.dest[0].Gates = blockedGate{}
@@ -78,9 +75,8 @@
 	}
 }
 
-// Connections between nodes went silent. A lookup waits in vain at two
-// endpoints, or its caller gives up at two. The entry node took that for two
-// crashes and refused the lookup to everybody for seconds.
+// Guards against timeouts or departed callers at two endpoints that count as two crashes: the entry
+// node quarantined the lookup for seconds while connections were silent.
 func TestTimeoutIsNotACrash(t *testing.T) {
 	release := make(chan struct{})
 	m := newMesh(t, lookups(), func(w http.ResponseWriter, r *http.Request) { <-release })
@@ -113,7 +109,7 @@
 	}
 }
 
-// listed keeps what an entry node asks of a list.
+// listSuspects implements the entry node's part of Suspects with a quarantine list.
 type listSuspects struct{ *quarantine.List }
 
 func (l listSuspects) Blocked(now time.Time, fp quarantine.Fingerprint) *call.Refusal {
@@ -131,9 +127,8 @@
 
 func (l listSuspects) Done(time.Time, Backend, quarantine.Token, quarantine.RunResult) {}
 
-// A connection goes silent in the middle of an archive. The exporter saw
-// neither the rest nor an end for half a minute, although the class promises an
-// answer within two seconds. It must see the cut in time to ask again.
+// Guards against an answer whose connection goes silent in the middle: the caller waited half a
+// minute for a class that answers within two seconds. The abort must leave time for a retry.
 func TestStalledAnswerIsAborted(t *testing.T) {
 	release := make(chan struct{})
 	target := lookups()
@@ -177,10 +172,8 @@
 	}
 }
 
-// An owner's lookup was in flight at a crash beside a bad request, and so runs
-// isolated. The one endpoint that its fingerprint chooses is down after a crash
-// of its own. The lookup was sent there until its attempts were used up, while
-// the other endpoint stood idle.
+// Guards against an isolated lookup that uses up its attempts at the endpoint selected by its
+// fingerprint, which is down, while another endpoint is idle.
 func TestIsolatedCallSkipsUnavailableEndpoints(t *testing.T) {
 	for _, first := range []int{0, 1} {
 		m := newMesh(t, lookups(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
@@ -193,7 +186,7 @@
 	}
 }
 
-// suspectAll takes every request for a suspect.
+// suspectAll treats every request as a suspect.
 type suspectAll struct{}
 
 func (suspectAll) Blocked(time.Time, quarantine.Fingerprint) *call.Refusal         { return nil }
@@ -209,17 +202,15 @@
 	return quarantine.Token{}, nil
 }
 
-// dropping is a gate that drops every call as expired, a moment before its
-// deadline.
+// expiringGate refuses every call as expired, just before its deadline.
 type expiringGate struct{}
 
 func (expiringGate) Acquire(context.Context, Backend, *config.Target, limit.AcquireOptions) (Permit, error) {
 	return nil, refuse(call.ReasonExpired, 0, "")
 }
 
-// A booking waits in a full queue with all of its time, and is dropped a moment
-// before its deadline. It was sent to another endpoint in that moment, waited
-// there past its deadline, and its caller was told that it may have run.
+// Guards against a booking that expires in a full queue just before its deadline and is then sent
+// to another endpoint: it waited there past its deadline and was reported as "may have run".
 func TestCallExpiredAtItsDeadlineIsNotRetried(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
 	m.dest[0].Gates = expiringGate{}
