--- a/internal/follow/assurance.go
+++ b/internal/follow/assurance.go
@@ -9,57 +9,59 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// A confirmation is an estimate: a message may have lain behind a cut for seconds before it
-// tells how old the newest answer of the source is. An assurance is certain. It counts from when
-// a question was sent, to the source or to a peer, and goes on while the VM is suspended. What
-// must not be trusted too long goes by it, as API keys that operators may have taken away.
+// A confirmation is an estimate: its message may have been delayed by a partition for seconds, and
+// its age does not include that time. An assurance is a guaranteed bound. Its age counts from when
+// the request was sent, to the source or to a peer, on a clock that includes the suspension of the
+// VM. Data that must not be trusted for too long, such as API keys that operators may have revoked,
+// depends on the assurance.
 
-// Assure notes that the version held was certainly the newest one at some time since the boot.
-func (s *State) Assure(at time.Duration) {
+// RecordAssurance records that the version held was certainly the newest at a time since boot.
+func (s *State) RecordAssurance(at time.Duration) {
 	if !s.assured || at > s.assuredAt {
 		s.assured, s.assuredAt = true, at
 	}
 }
 
-// AssuredAge returns for how long the version held may have been replaced. known is unset
-// where it may never have been the newest.
+// AssuredAge returns the maximum time for which the version held may have been superseded. known is
+// false if the version may never have been the newest.
 func (s *State) AssuredAge(boot time.Duration) (age time.Duration, known bool) {
 	return boot - s.assuredAt, s.assured
 }
 
-// assureIn returns when this node has to ask for an assurance, so that one that it passes on is
-// young enough for the nodes below it in a tree.
-func (s *State) assureIn(boot time.Duration, place distribute.Position) time.Duration {
+// nextAssuranceIn returns the time until this node has to request an assurance, early enough that
+// the assurance it forwards is still young for the nodes below it in the tree.
+func (s *State) nextAssuranceIn(boot time.Duration, position distribute.Position) time.Duration {
 	age, known := s.AssuredAge(boot)
 	if !known {
 		return 0
 	}
-	depth := time.Duration(max(place.Depth, 1))
+	depth := time.Duration(max(position.Depth, 1))
 	return s.set.MaxAssuranceAge*depth/(depth+2) - age
 }
 
-// askReader returns the node that last had an answer of the source, where this one is a feeder and
-// is to ask for an assurance. Those that a feeder depends on may be confirmed by a reader that
-// stands in for them, and hold no young assurance themselves.
-func (s *State) askReader(boot time.Duration, view *membership.View) (reader string, due bool) {
-	place := s.placeIn(view)
-	if s.set.MaxAssuranceAge == 0 || place.Depth > 0 || s.assureIn(boot, place) > 0 {
+// assuranceReader returns the node that last read the source, if this node is a feeder and an
+// assurance is due. The parents of a feeder may be confirmed by a fallback reader, and then have no
+// young assurance themselves.
+func (s *State) assuranceReader(boot time.Duration, view *membership.View) (reader string, due bool) {
+	position := s.positionIn(view)
+	if s.set.MaxAssuranceAge == 0 || position.Depth > 0 || s.nextAssuranceIn(boot, position) > 0 {
 		return "", false
 	}
 	reader = s.confirmed.Reader
 	known := reader != s.set.Self && view.Records[reader] != nil
-	return reader, known && !slices.Contains(s.contact.missed, reader)
+	return reader, known && !slices.Contains(s.contact.unconfirmed, reader)
 }
 
-// askReaderIn returns when the reader that leads is to ask again.
-func (s *State) askReaderIn(now time.Time, boot time.Duration, view *membership.View) time.Duration {
-	if _, due := s.askReader(boot, view); !due {
-		return askEvery
+// leaderQueryIn returns the time until the next query of the leading reader.
+func (s *State) leaderQueryIn(now time.Time, boot time.Duration, view *membership.View) time.Duration {
+	if _, due := s.assuranceReader(boot, view); !due {
+		return unconfirmedQueryInterval
 	}
-	return max(0, s.contact.nextAsk.Sub(now))
+	return max(0, s.contact.nextQuery.Sub(now))
 }
 
-// AssuredAge tells for how long the version held may have been replaced; see State.AssuredAge.
+// AssuredAge returns the maximum time for which the version held may have been superseded; see
+// State.AssuredAge.
 func (r *Runner) AssuredAge(now time.Time) (age time.Duration, known bool) {
 	boot := r.clock.At(now)
 	r.mu.Lock()
@@ -67,20 +69,21 @@
 	return r.state.AssuredAge(boot)
 }
 
-// assure takes what the answer to a question of this node tells of the version held.
-func (r *Runner) assure(asked time.Duration, c *peerpb.Confirmation, number uint64) {
+// recordAssurance records the assurance in the answer to a request of this node. sentAt is when the
+// request was sent, since boot.
+func (r *Runner) recordAssurance(sentAt time.Duration, c *peerpb.Confirmation, number uint64) {
 	if c == nil || c.AssuredAgeMs == nil || number > r.held.Load().Version().Number {
 		return
 	}
 	age := min(time.Duration(*c.AssuredAgeMs)*time.Millisecond, distribute.MaxConfirmedAge)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state.Assure(asked - age)
+	r.state.RecordAssurance(sentAt - age)
 }
 
-// assuredBySource notes that the source has answered a question that was sent at some time.
-func (r *Runner) assuredBySource(asked time.Duration) {
+// recordSourceAssurance records that the source answered a request sent at sentAt, since boot.
+func (r *Runner) recordSourceAssurance(sentAt time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state.Assure(asked)
+	r.state.RecordAssurance(sentAt)
 }
--- a/internal/follow/assurance_test.go
+++ b/internal/follow/assurance_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// assureWithin is how old an assurance may grow in these tests, as users state it for keys.
+// assureWithin is the maximum age of an assurance in these tests, as users set it for API keys.
 const assureWithin = 5 * time.Second
 
-// oldest returns the greatest age of an assurance among the nodes.
-func (m *meshOfNodes) oldest(only func(*meshNode) bool) time.Duration {
+// oldestAssurance returns the greatest age of an assurance among the included nodes.
+func (m *testMesh) oldestAssurance(include func(*meshNode) bool) time.Duration {
 	var oldest time.Duration
 	for _, n := range m.nodes {
-		if !only(n) {
+		if !include(n) {
 			continue
 		}
 		age, known := n.runner.AssuredAge(time.Now())
@@ -28,16 +28,16 @@
 
 func everyNode(*meshNode) bool { return true }
 
-// Guards against nodes that refuse calls with good keys while the source answers: the assurance
-// has to stay young on every node, also in a data centre where a tree passes it on.
+// Guards against nodes that refuse calls with valid keys while the source answers: the assurance
+// must stay young on every node, also where a tree forwards it.
 func TestAssuranceStaysYoung(t *testing.T) {
 	startCodec(t)
 	for _, sizes := range [][]int{{4, 4}, {27, 27, 26}, {240}} {
-		withAssuredMesh(t, sizes, func(m *meshOfNodes) {
-			time.Sleep(meshSettles)
+		withAssuredMesh(t, sizes, func(m *testMesh) {
+			time.Sleep(settleTime)
 			for range 100 {
 				time.Sleep(100 * time.Millisecond)
-				if age := m.oldest(everyNode); age >= assureWithin*4/5 {
+				if age := m.oldestAssurance(everyNode); age >= assureWithin*4/5 {
 					t.Fatalf("%v: an assurance is %v old", sizes, age)
 				}
 			}
@@ -45,52 +45,52 @@
 	}
 }
 
-// Guards against keys that were taken away and are believed on a node that can't know: its
-// assurance must be as old as the last answer that it or anybody who tells it has had.
+// Guards against revoked keys that are accepted on a node that can't know of the revocation: its
+// assurance must be as old as the last answer that reached it, directly or through a peer.
 func TestAssuranceGrowsOldWithoutTheSource(t *testing.T) {
 	startCodec(t)
-	withAssuredMesh(t, []int{6, 6}, func(m *meshOfNodes) {
-		time.Sleep(meshSettles)
-		m.silence(everyNode)
+	withAssuredMesh(t, []int{6, 6}, func(m *testMesh) {
+		time.Sleep(settleTime)
+		m.setSilent(everyNode)
 		silent := time.Now()
 		for range 80 {
 			time.Sleep(100 * time.Millisecond)
 			for id, n := range m.nodes {
 				if age, _ := n.runner.AssuredAge(time.Now()); age < time.Since(silent) {
-					t.Fatalf("%s: assured %v ago, the source is silent for %v", id, age, time.Since(silent))
+					t.Fatalf("%s: the assurance is %v old, the source has been silent for %v", id, age, time.Since(silent))
 				}
 			}
 		}
-		m.silence(func(*meshNode) bool { return false })
-		time.Sleep(meshSettles)
-		if age := m.oldest(everyNode); age >= assureWithin {
+		m.setSilent(func(*meshNode) bool { return false })
+		time.Sleep(settleTime)
+		if age := m.oldestAssurance(everyNode); age >= assureWithin {
 			t.Errorf("an assurance is %v old though the source answers", age)
 		}
 	})
 }
 
-// Guards the pattern of a store that leaves the nodes without an answer that hold what operators
-// take away: those that still reach a node with an answer go on.
+// Guards against a source that does not answer the feeders: nodes that reach a node with an answer
+// must keep a young assurance.
 func TestSilentFeedersAreAssuredByOthers(t *testing.T) {
 	startCodec(t)
-	withAssuredMesh(t, []int{8, 8}, func(m *meshOfNodes) {
-		time.Sleep(meshSettles)
-		m.silence(func(n *meshNode) bool { return n.runner.Feeder() })
+	withAssuredMesh(t, []int{8, 8}, func(m *testMesh) {
+		time.Sleep(settleTime)
+		m.setSilent(func(n *meshNode) bool { return n.runner.Feeder() })
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			if age := m.oldest(func(n *meshNode) bool { return !n.silent }); age >= assureWithin {
+			if age := m.oldestAssurance(func(n *meshNode) bool { return !n.silent }); age >= assureWithin {
 				t.Fatalf("an assurance is %v old", age)
 			}
 		}
 	})
 }
 
-// Guards against an age that a message carries on its way for longer than its sender says: what a
-// peer tells unasked assures nothing.
-func TestUnaskedWordAssuresNothing(t *testing.T) {
+// Guards against a message that was delayed for longer than the age it carries: an assurance that
+// this node did not request must not count.
+func TestUnsolicitedMessageAssuresNothing(t *testing.T) {
 	startCodec(t)
-	withAssuredMesh(t, []int{6}, func(m *meshOfNodes) {
-		time.Sleep(meshSettles)
+	withAssuredMesh(t, []int{6}, func(m *testMesh) {
+		time.Sleep(settleTime)
 		n := m.nodes[m.ids[0]]
 		n.runner.mu.Lock()
 		before := n.runner.state.assuredAt
@@ -98,18 +98,18 @@
 		age := uint64(0)
 		c := n.runner.confirmation(time.Now())
 		c.AssuredAgeMs = &age
-		n.runner.confirm(c, 0)
+		n.runner.recordConfirmation(c, 0)
 		n.runner.mu.Lock()
 		defer n.runner.mu.Unlock()
 		if n.runner.state.assuredAt != before {
-			t.Error("the assurance was believed")
+			t.Error("the assurance of an unsolicited message was recorded")
 		}
 	})
 }
 
-// believed checks that no node takes the version that it holds for newer than it can know: whatever
-// was accepted before its assurance must be held.
-func (m *meshOfNodes) believed() bool {
+// checkAssurances checks that no assurance is younger than justified: each version that was
+// accepted before a node's assurance must be held.
+func (m *testMesh) checkAssurances() bool {
 	m.t.Helper()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -123,7 +123,7 @@
 		held := n.runner.held.Load().Version().Number
 		for _, a := range m.accepted {
 			if since := now.Sub(a.at); since > age && held < a.number {
-				m.t.Errorf("%s is assured of version %d as of %v ago, and %d was accepted %v ago", id, held, age, a.number, since)
+				m.t.Errorf("%s holds version %d with an assurance %v old, but version %d was accepted %v ago", id, held, age, a.number, since)
 				return false
 			}
 		}
@@ -131,27 +131,28 @@
 	return true
 }
 
-// Guards against a key that was taken away and is believed past its bound, in drawn troubles: a
-// source that is silent for some, slow, or turns all away, data centres cut off, versions all along.
-func TestNoTroubleAssuresAnOldVersion(t *testing.T) {
+// Guards against a revoked key that is accepted past its bound under random faults: a source that
+// is silent for some nodes, slow, or rejects all requests, and partitioned data centres, while
+// versions are accepted.
+func TestFaultsNeverAssureAnOldVersion(t *testing.T) {
 	startCodec(t)
-	const look = 50 * time.Millisecond
+	const checkInterval = 50 * time.Millisecond
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed_", seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 40))
-			withAssuredMesh(t, []int{3 + rng.IntN(6), 3 + rng.IntN(6), 3 + rng.IntN(12)}, func(m *meshOfNodes) {
+			withAssuredMesh(t, []int{3 + rng.IntN(6), 3 + rng.IntN(6), 3 + rng.IntN(12)}, func(m *testMesh) {
 				for range 6 {
-					m.trouble(rng)
-					m.slow(time.Duration(rng.Int64N(int64(2 * time.Second))))
-					m.refuse(rng.IntN(5) == 0)
+					m.injectFaults(rng)
+					m.setDelay(time.Duration(rng.Int64N(int64(2 * time.Second))))
+					m.setRefusing(rng.IntN(5) == 0)
 					accept := time.Duration(rng.Int64N(int64(2 * time.Second)))
-					for at, length := time.Duration(0), time.Duration(rng.Int64N(int64(6*time.Second))); at < length; at += look {
-						if accept -= look; accept < 0 {
+					for at, length := time.Duration(0), time.Duration(rng.Int64N(int64(6*time.Second))); at < length; at += checkInterval {
+						if accept -= checkInterval; accept < 0 {
 							m.accept()
 							accept = time.Duration(rng.Int64N(int64(2 * time.Second)))
 						}
-						time.Sleep(look)
-						if !m.believed() {
+						time.Sleep(checkInterval)
+						if !m.checkAssurances() {
 							return
 						}
 					}
--- a/internal/follow/contact.go
+++ b/internal/follow/contact.go
@@ -10,224 +10,227 @@
 )
 
 const (
-	// confirmPart is the part of the time in which a version has to be in force that may pass
-	// between two answers of the source to a node whose reading others depend on. Nodes that
-	// then miss a confirmation, ask for one in vain and read by themselves have the rest.
-	confirmPart = 0.3
-	// sourceHold is for how long the source holds a question of a node whose reading nobody
-	// depends on. Long, since platforms charge for every question.
+	// confirmFraction is the maximum time between two answers of the source to a node that confirms
+	// for others, as a fraction of Settings.InForceWithin. The rest is for the other nodes to miss
+	// a confirmation, query their parents in vain and read the source themselves.
+	confirmFraction = 0.3
+	// sourceHold is how long the source holds the long poll of a node that confirms for no others.
+	// It is long because platforms charge for every request.
 	sourceHold = 25 * time.Second
-	// answerTime is what an answer of the source and its way to others may take.
-	answerTime = 250 * time.Millisecond
-	// askTimeout bounds a question to a teller.
-	askTimeout = 350 * time.Millisecond
-	// askMargin is how long a node waits for a confirmation that is due before it asks.
-	askMargin = 20 * time.Millisecond
-	// askGap is the least time between two questions of a node whose last one was answered, and
-	// askEvery the time between those of a node whose tellers confirm nothing, or don't tell how
-	// old their confirmation is.
-	askGap   = 100 * time.Millisecond
-	askEvery = 500 * time.Millisecond
-	// askTreeEvery is the time between the questions of a node below others in a tree, of which
-	// many ask the same one.
-	askTreeEvery = 2 * time.Second
-	// askStep is what the nodes of one group leave to those of the group before, which may read
-	// the source and confirm it to all. The first group has askFirst nodes, and each other one as
-	// many as all before it.
-	askStep  = 100 * time.Millisecond
-	askFirst = 4
+	// answerAllowance is the time allowed for an answer of the source to reach the other nodes.
+	answerAllowance = 250 * time.Millisecond
+	// queryTimeout bounds a query to a parent.
+	queryTimeout = 350 * time.Millisecond
+	// queryMargin is how long a node waits for a confirmation that is due before it queries.
+	queryMargin = 20 * time.Millisecond
+	// minQueryInterval is the minimum time between queries after an answer, and
+	// unconfirmedQueryInterval the time between the queries of a node whose parents confirm
+	// nothing, or do not report the age of their confirmation.
+	minQueryInterval         = 100 * time.Millisecond
+	unconfirmedQueryInterval = 500 * time.Millisecond
+	// treeQueryInterval is added per level to the confirmation age at which a node below the first
+	// level of a tree queries, because many such nodes query the same parent.
+	treeQueryInterval = 2 * time.Second
+	// queryStagger is the delay of each group of nodes after the previous group, whose nodes may
+	// read the source and confirm to all. The first group has firstGroupSize nodes, and each other
+	// group as many as all groups before it.
+	queryStagger   = 100 * time.Millisecond
+	firstGroupSize = 4
 )
 
-// contact is what a node knows of those that it depends on for versions.
+// contact tracks whether the parents of this node confirm the version held.
 //
-// It guards against a node that the source would answer and that is told nothing: because it
-// is cut off from its tellers, they are gone, or the source leaves them without an answer.
-// All of these look like a time without changes.
+// It guards against a node that receives no versions although the source would answer it: the node
+// is partitioned from its parents, they are gone, or the source does not answer them. All of these
+// look like a period without changes.
 type contact struct {
-	missed  []string // tellers that confirmed nothing since one last did
-	lost    bool     // no teller confirms the version held, so this node reads the source
-	nextAsk time.Time
+	unconfirmed []string // parents that did not confirm since the last confirmation
+	lost        bool     // no parent confirms the version held, so this node reads the source
+	nextQuery   time.Time
 }
 
-// Answer is what a teller says of the version that it holds.
+// Answer is a peer's confirmation of the version that it holds.
 type Answer struct {
-	// Known is unset for a node that doesn't tell when its version was confirmed.
-	Known  bool
-	Age    time.Duration // of the newest confirmation
-	Reader string        // who had it from the source
+	// HasConfirmation is false if the peer does not report when its version was confirmed.
+	HasConfirmation bool
+	Age             time.Duration // of the peer's newest confirmation
+	Reader          string        // ID of the node that read it from the source
 }
 
-// placeIn returns the place of this node in a view.
-func (s *State) placeIn(view *membership.View) distribute.Position {
-	if s.placed != view || view == nil {
-		s.placed, s.place = view, distribute.PositionOf(view, s.set.Self, s.set.DataCentre)
+// positionIn returns the position of this node in a view.
+func (s *State) positionIn(view *membership.View) distribute.Position {
+	if s.positionView != view || view == nil {
+		s.positionView, s.position = view, distribute.PositionOf(view, s.set.Self, s.set.DataCentre)
 		s.leads, s.reader = false, false
-		if s.place.Depth == 0 {
-			s.placeFeeder(distribute.Readers(view, s.set.Self, s.set.DataCentre))
+		if s.position.Depth == 0 {
+			s.setFeederParents(distribute.Readers(view, s.set.Self, s.set.DataCentre))
 		}
 	}
-	return s.place
+	return s.position
 }
 
-// placeFeeder says on whom a feeder depends: the second on the first of its data centre, and
-// that on the reader that leads.
-func (s *State) placeFeeder(readers []string) {
+// setFeederParents sets the parents of a feeder: the leading reader for the first feeder of a data
+// centre, and the first feeder for the second.
+func (s *State) setFeederParents(readers []string) {
 	s.leads = readers[0] == s.set.Self
 	s.reader = slices.Contains(readers, s.set.Self)
 	switch {
 	case s.leads:
-	case s.place.Rank == 0:
-		s.place.Parents = readers[:1]
+	case s.position.Rank == 0:
+		s.position.Parents = readers[:1]
 	default:
-		s.place.Parents = s.place.Feeders[:1]
+		s.position.Parents = s.position.Feeders[:1]
 	}
 }
 
-// Ask returns the node to ask now. Answered or Missed must follow. There is none for the feeder
-// that leads, or while the node waits for its first version.
-func (s *State) Ask(now time.Time, boot time.Duration, view *membership.View) (teller string, due bool) {
-	if !s.asks(view) {
+// NextQuery returns the node to query now. RecordAnswer or RecordUnconfirmed must follow. There is
+// none for the leading reader, unless an assurance is due, or while the node waits for its first
+// version.
+func (s *State) NextQuery(now time.Time, boot time.Duration, view *membership.View) (parent string, due bool) {
+	if !s.queriesPeers(view) {
 		s.contact = contact{}
 		return "", false
 	}
-	if s.AskIn(now, boot, view) > 0 {
+	if s.NextQueryIn(now, boot, view) > 0 {
 		return "", false
 	}
-	if reader, due := s.askReader(boot, view); due {
+	if reader, due := s.assuranceReader(boot, view); due {
 		return reader, true
 	}
-	tellers := s.placeIn(view).Parents
-	if len(tellers) == 0 {
+	parents := s.positionIn(view).Parents
+	if len(parents) == 0 {
 		return "", false
 	}
-	for _, id := range tellers {
-		if !slices.Contains(s.contact.missed, id) {
+	for _, id := range parents {
+		if !slices.Contains(s.contact.unconfirmed, id) {
 			return id, true
 		}
 	}
-	s.contact.missed = nil // the membership has changed since
-	return tellers[0], true
+	s.contact.unconfirmed = nil // the membership has changed
+	return parents[0], true
 }
 
-// asks reports whether this node depends on others that it can ask. The reader that leads does
-// for assurances alone, where the source leaves it without an answer.
-func (s *State) asks(view *membership.View) bool {
-	return s.fed() && (len(s.placeIn(view).Parents) > 0 || s.set.MaxAssuranceAge > 0)
+// queriesPeers reports whether this node has peers to query. The leading reader queries for
+// assurances alone, while the source does not answer it.
+func (s *State) queriesPeers(view *membership.View) bool {
+	return s.receivesVersions() && (len(s.positionIn(view).Parents) > 0 || s.set.MaxAssuranceAge > 0)
 }
 
-// AskIn returns when to ask again. Where one did not confirm the version the next is asked at once.
-func (s *State) AskIn(now time.Time, boot time.Duration, view *membership.View) time.Duration {
+// NextQueryIn returns the time until the next query. If a parent did not confirm the version, the
+// next one is queried at once.
+func (s *State) NextQueryIn(now time.Time, boot time.Duration, view *membership.View) time.Duration {
 	c := &s.contact
 	switch {
-	case !s.asks(view):
-		return askEvery
-	case len(c.missed) > 0:
+	case !s.queriesPeers(view):
+		return unconfirmedQueryInterval
+	case len(c.unconfirmed) > 0:
 		return 0
 	case c.lost:
-		return c.nextAsk.Sub(now)
-	case len(s.placeIn(view).Parents) == 0:
-		return s.askReaderIn(now, boot, view)
+		return c.nextQuery.Sub(now)
+	case len(s.positionIn(view).Parents) == 0:
+		return s.leaderQueryIn(now, boot, view)
 	}
 	age, _ := s.ConfirmedAge(now)
-	due := s.askAge(view) - age
+	due := s.queryAge(view) - age
 	if s.set.MaxAssuranceAge > 0 {
-		due = min(due, s.assureIn(boot, s.placeIn(view)))
+		due = min(due, s.nextAssuranceIn(boot, s.positionIn(view)))
 	}
-	return max(due, c.nextAsk.Sub(now))
+	return max(due, c.nextQuery.Sub(now))
 }
 
-// askAge is the age of the confirmation from which on this node asks for a newer one. It grows
-// with the rank: of many nodes that find it too old, the first then read the source, and the
-// others are answered by what these have read.
-func (s *State) askAge(view *membership.View) time.Duration {
-	place := s.placeIn(view)
-	group := bits.Len(uint(max(place.Rank, 0) / askFirst))
-	return s.confirmedWithin(place, 0) + askMargin + askStep*time.Duration(group)
+// queryAge returns the age of the confirmation at which this node queries for a newer one. It grows
+// with the rank: the first of many nodes whose confirmation is too old read the source, and the
+// others are then confirmed by these reads.
+func (s *State) queryAge(view *membership.View) time.Duration {
+	position := s.positionIn(view)
+	group := bits.Len(uint(max(position.Rank, 0) / firstGroupSize))
+	return s.maxConfirmationAge(position, 0) + queryMargin + queryStagger*time.Duration(group)
 }
 
-// confirmedWithin is the age that the confirmation of a teller has at most while the source
-// answers: of a feeder, or of a node above this one in a tree.
-func (s *State) confirmedWithin(place distribute.Position, teller int) time.Duration {
-	if place.Depth < 2 || teller > 0 {
+// maxConfirmationAge returns the maximum age of a parent's confirmation while the source answers.
+// The first parent of a node below the first level of the tree is another node of the tree, not a
+// feeder.
+func (s *State) maxConfirmationAge(position distribute.Position, parentIndex int) time.Duration {
+	if position.Depth < 2 || parentIndex > 0 {
 		return s.set.staleAfter()
 	}
-	return s.set.staleAfter() + askTreeEvery*time.Duration(place.Depth-1)
+	return s.set.staleAfter() + treeQueryInterval*time.Duration(position.Depth-1)
 }
 
-// fed reports whether versions come to the node by others, if it is no feeder.
-func (s *State) fed() bool { return s.held.Number > 0 || s.none }
+// receivesVersions reports whether a node that is no reader receives its versions from others.
+func (s *State) receivesVersions() bool { return s.held.Number > 0 || s.noVersion }
 
-// Answered notes what a teller answered. It reports whether the node has lost its contact with
-// this, or has it again.
-func (s *State) Answered(now time.Time, teller string, a Answer, view *membership.View) (lost, regained bool) {
-	place := s.placeIn(view)
-	if a.Known && a.Age > s.confirmedWithin(place, slices.Index(place.Parents, teller)) {
-		return s.Missed(now, teller, view), false
+// RecordAnswer records the answer of a parent. It reports whether the node has lost contact with
+// its parents by this answer, or regained it.
+func (s *State) RecordAnswer(now time.Time, parent string, a Answer, view *membership.View) (lost, regained bool) {
+	position := s.positionIn(view)
+	if a.HasConfirmation && a.Age > s.maxConfirmationAge(position, slices.Index(position.Parents, parent)) {
+		return s.RecordUnconfirmed(now, parent, view), false
 	}
 	c := &s.contact
-	c.missed, c.nextAsk = nil, now.Add(askGap)
-	if !a.Known {
-		c.nextAsk = now.Add(askEvery)
+	c.unconfirmed, c.nextQuery = nil, now.Add(minQueryInterval)
+	if !a.HasConfirmation {
+		c.nextQuery = now.Add(unconfirmedQueryInterval)
 	}
-	if c.lost && a.Known && a.Reader == s.set.Self {
-		c.nextAsk = now.Add(askEvery) // it is this node's reading that the teller has heard of
+	if c.lost && a.HasConfirmation && a.Reader == s.set.Self {
+		c.nextQuery = now.Add(unconfirmedQueryInterval) // the parent only forwards this node's own read
 		return false, false
 	}
 	regained = c.lost
 	c.lost = false
 	if regained {
-		s.failing = false // reading the source is up to others again
+		s.failing = false // other nodes read the source again
 	}
 	return false, regained
 }
 
-// Missed notes that a teller did not answer, or that its answer confirms nothing. It reports
-// whether it was the last of them.
-func (s *State) Missed(now time.Time, teller string, view *membership.View) (lost bool) {
+// RecordUnconfirmed records that a parent did not answer, or that its answer confirms nothing. It
+// reports whether no parent is left, so that contact is lost.
+func (s *State) RecordUnconfirmed(now time.Time, parent string, view *membership.View) (lost bool) {
 	c := &s.contact
-	if len(s.placeIn(view).Parents) == 0 {
-		c.nextAsk = now.Add(askEvery)
+	if len(s.positionIn(view).Parents) == 0 {
+		c.nextQuery = now.Add(unconfirmedQueryInterval)
 		return false
 	}
-	c.missed = append(c.missed, teller)
-	for _, id := range s.placeIn(view).Parents {
-		if !slices.Contains(c.missed, id) {
+	c.unconfirmed = append(c.unconfirmed, parent)
+	for _, id := range s.positionIn(view).Parents {
+		if !slices.Contains(c.unconfirmed, id) {
 			return false
 		}
 	}
 	lost = !c.lost
-	c.missed, c.lost, c.nextAsk = nil, true, now.Add(askEvery)
+	c.unconfirmed, c.lost, c.nextQuery = nil, true, now.Add(unconfirmedQueryInterval)
 	return lost
 }
 
-// Reads reports whether other nodes depend on this one's reading of the source, so that it
-// must be answered soon: on that of the reader that leads, and on that of a node that nobody
-// confirms its version to.
-func (s *State) Reads(view *membership.View) bool {
-	s.placeIn(view)
+// ConfirmsForOthers reports whether other nodes depend on the confirmations of this node, so that
+// the source must answer it soon. This is the case for the leading reader, and for a node whose
+// parents do not confirm its version.
+func (s *State) ConfirmsForOthers(view *membership.View) bool {
+	s.positionIn(view)
 	return s.contact.lost || s.leads
 }
 
-// StandsIn reports whether this node reads the source in place of its feeders.
-func (s *State) StandsIn(view *membership.View) bool {
-	return s.contact.lost && s.placeIn(view).Depth > 0
+// IsFallbackReader reports whether this node reads the source in place of its feeders.
+func (s *State) IsFallbackReader(view *membership.View) bool {
+	return s.contact.lost && s.positionIn(view).Depth > 0
 }
 
-// Hold is for how long the source may hold a question that this node asks now.
-func (s *State) Hold(now time.Time, view *membership.View) time.Duration {
-	if !s.Reads(view) {
+// PollHold returns how long the source may hold the request that this node sends now.
+func (s *State) PollHold(now time.Time, view *membership.View) time.Duration {
+	if !s.ConfirmsForOthers(view) {
 		return sourceHold
 	}
-	return max(0, s.set.confirmEvery()-now.Sub(s.answered))
+	return max(0, s.set.confirmInterval()-now.Sub(s.answeredAt))
 }
 
-// Reports returns the nodes to tell of each answer of the source: the feeders, which others ask.
-// A reader tells those of all data centres.
-func (s *State) Reports(view *membership.View) []string {
-	if !s.Reads(view) && !s.reader {
+// ReportTargets returns the nodes to confirm to after each answer of the source: the feeders, which
+// the other nodes query. A reader confirms to the feeders of all data centres.
+func (s *State) ReportTargets(view *membership.View) []string {
+	if !s.ConfirmsForOthers(view) && !s.reader {
 		return nil
 	}
-	feeders := slices.Clone(s.placeIn(view).Feeders)
+	feeders := slices.Clone(s.positionIn(view).Feeders)
 	if s.reader {
 		feeders = append(feeders, distribute.OtherFeeders(view, s.set.Self, s.set.DataCentre)...)
 	}
--- a/internal/follow/contact_test.go
+++ b/internal/follow/contact_test.go
@@ -20,40 +20,40 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// inForceWithin is the users' bound from the acknowledgement of a version until it is in
-// force on every node that reaches the platform.
+// inForceWithin is the users' bound from the acknowledgement of a version until it is in force on
+// every node that reaches the platform.
 const inForceWithin = 2 * time.Second
 
-// reach says what becomes of a message to a peer.
-type reach int
+// reachability is the result of a request to a peer.
+type reachability int
 
 const (
-	reaches reach = iota
-	// silent is a peer behind a cut: nothing comes back.
+	reachable reachability = iota
+	// silent is a partitioned peer: it does not answer.
 	silent
-	// refuses is a VM whose node is not running.
-	refuses
+	// refusing is a VM whose node is not running.
+	refusing
 )
 
-// feederless is a node that is no feeder, with a source in reach, and peers that hold the
-// version of the source at each moment. It is the source and the client of its runner.
-type feederless struct {
+// nonFeeder is a node that is no feeder. The source is reachable, and the peers hold the newest
+// version of the source at all times. It is the source and the client of its runner.
+type nonFeeder struct {
 	t      *testing.T
 	view   *membership.View
 	runner *Runner
 
-	mu      sync.Mutex
-	newest  *config.Snapshot
-	changed chan struct{} // closed when newest changes
-	peers   map[string]reach
-	given   config.Version // by Next, the last time
-	reads   int            // of the source
-	behind  bool           // the source has dropped its changes
+	mu        sync.Mutex
+	newest    *config.Snapshot
+	changed   chan struct{} // closed when newest changes
+	peers     map[string]reachability
+	lastGiven config.Version // last version returned by Next
+	reads     int            // reads of the source
+	compacted bool           // the source has compacted its changes away
 }
 
-// newFeederless starts the node, and returns once it holds the first version.
-func newFeederless(t *testing.T, ctx context.Context) *feederless {
-	f := &feederless{t: t, view: crowd(t), newest: config.Empty(), changed: make(chan struct{}), peers: make(map[string]reach)}
+// newNonFeeder starts the node, and returns once it holds the first version.
+func newNonFeeder(t *testing.T, ctx context.Context) *nonFeeder {
+	f := &nonFeeder{t: t, view: nonFeederView(t), newest: config.Empty(), changed: make(chan struct{}), peers: make(map[string]reachability)}
 	var views membership.CurrentView
 	views.Store(f.view)
 	store, err := config.NewStore(func(*config.Snapshot) (int, error) { return 0, nil })
@@ -64,12 +64,12 @@
 	f.runner = NewRunner(Defaults("me", "dc", 0), Deps{Source: f, Views: &views, Client: f, Store: store, Log: zerolog.Nop()})
 	go f.runner.Run(ctx)
 	time.Sleep(3 * time.Second)
-	f.holds(1)
+	f.checkHeld(1)
 	return f
 }
 
-// accept puts a new version into the source.
-func (f *feederless) accept() {
+// accept adds a new version to the source.
+func (f *nonFeeder) accept() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	name := fmt.Sprint("s", f.newest.Version().Number)
@@ -82,16 +82,16 @@
 	f.changed = make(chan struct{})
 }
 
-// holds checks which version is in force.
-func (f *feederless) holds(want uint64) {
+// checkHeld checks the version in force.
+func (f *nonFeeder) checkHeld(want uint64) {
 	f.t.Helper()
 	if got := f.runner.Stamp().Version.Number; got != want {
 		f.t.Errorf("version %d is in force, want %d", got, want)
 	}
 }
 
-// feeders returns the feeders of the node, and others the other peers.
-func (f *feederless) feeders() (feeders, others []string) {
+// feeders returns the feeders of the node, and the other peers.
+func (f *nonFeeder) feeders() (feeders, others []string) {
 	for id := range f.view.Records {
 		switch {
 		case id == "me":
@@ -105,7 +105,7 @@
 	return feeders, others
 }
 
-func (f *feederless) set(r reach, peers ...string) {
+func (f *nonFeeder) set(r reachability, peers ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range peers {
@@ -114,18 +114,18 @@
 }
 
 // Next implements Source.
-func (f *feederless) Next(ctx context.Context, _ time.Duration) (*config.Snapshot, error) {
+func (f *nonFeeder) Next(ctx context.Context, _ time.Duration) (*config.Snapshot, error) {
 	for {
 		f.mu.Lock()
 		f.reads++
-		if f.behind {
-			f.behind = false
+		if f.compacted {
+			f.compacted = false
 			f.mu.Unlock()
 			return nil, ErrCompacted
 		}
 		newest, changed := f.newest, f.changed
-		if newest.Version().Newer(f.given) {
-			f.given = newest.Version()
+		if newest.Version().Newer(f.lastGiven) {
+			f.lastGiven = newest.Version()
 			f.mu.Unlock()
 			return newest, nil
 		}
@@ -138,11 +138,11 @@
 	}
 }
 
-// Push implements distribute.Client. What this node tells changes nothing.
-func (f *feederless) Push(context.Context, string, *peerpb.Packed) error { return nil }
+// Push implements distribute.Client. Pushes of this node have no effect.
+func (f *nonFeeder) Push(context.Context, string, *peerpb.Packed) error { return nil }
 
 // Pull implements distribute.Client.
-func (f *feederless) Pull(ctx context.Context, to, _ string, q *peerpb.PullRequest) (*peerpb.PullResponse, error) {
+func (f *nonFeeder) Pull(ctx context.Context, to, _ string, q *peerpb.PullRequest) (*peerpb.PullResponse, error) {
 	f.mu.Lock()
 	r, newest := f.peers[to], f.newest
 	f.mu.Unlock()
@@ -150,7 +150,7 @@
 	case silent:
 		<-ctx.Done()
 		return nil, ctx.Err()
-	case refuses:
+	case refusing:
 		return nil, errors.New("connection refused")
 	}
 	v := newest.Version()
@@ -163,32 +163,31 @@
 	return a, err
 }
 
-// A VM is cut off from others, and reaches the platform. Its feeders can't tell it of a new
-// version, and it went on answering 404 on a route that was added 2.1 to 4.4 s before: it
-// waited to be told until its membership took the feeders for gone, 3.1 s after the cut at
-// best. So it was in 4 of 6 runs of a day of such cuts. Its log had no line between the last
-// version of a feeder and the first of another data centre, while the feeders' logs told of
-// a peer that was not told.
+// Guards against a node that is partitioned from its feeders, but reaches the platform, and runs an
+// old version. It waited for a push until its membership removed the feeders, 3.1 s after the cut
+// at best, and answered 404 on a route that was added 2.1 to 4.4 s before. This happened in 4 of 6
+// runs with such partitions, without a line in the node's log; only the feeders logged failed
+// pushes.
 func TestCutOffFromFeedersReadsTheSource(t *testing.T) {
 	for _, cut := range []struct {
 		name string
-		how  func(*feederless)
+		how  func(*nonFeeder)
 	}{
-		{"cut off from all", func(f *feederless) {
+		{"cut off from all", func(f *nonFeeder) {
 			feeders, others := f.feeders()
 			f.set(silent, slices.Concat(feeders, others)...)
 		}},
-		{"cut off from its feeders alone", func(f *feederless) {
+		{"cut off from its feeders alone", func(f *nonFeeder) {
 			feeders, _ := f.feeders()
 			f.set(silent, feeders...)
 		}},
-		{"both feeders are killed", func(f *feederless) {
+		{"both feeders are killed", func(f *nonFeeder) {
 			feeders, _ := f.feeders()
-			f.set(refuses, feeders...)
+			f.set(refusing, feeders...)
 		}},
-		{"one is killed, one is cut off", func(f *feederless) {
+		{"one is killed, one is cut off", func(f *nonFeeder) {
 			feeders, _ := f.feeders()
-			f.set(refuses, feeders[0])
+			f.set(refusing, feeders[0])
 			f.set(silent, feeders[1])
 		}},
 	} {
@@ -197,13 +196,13 @@
 				synctest.Test(t, func(t *testing.T) {
 					ctx, stop := context.WithCancel(t.Context())
 					defer stop()
-					f := newFeederless(t, ctx)
+					f := newNonFeeder(t, ctx)
 					time.Sleep(moment)
 					cut.how(f)
 					for v := range uint64(4) {
 						f.accept()
 						time.Sleep(inForceWithin)
-						f.holds(v + 2)
+						f.checkHeld(v + 2)
 					}
 				})
 			}
@@ -211,42 +210,42 @@
 	}
 }
 
-// The feeders answer, and the source is theirs to read: a node that asks them all the while
-// must not begin to read it as well, nor where one of the two is gone for a time.
+// Guards against a node that reads the source although its feeders confirm its version, also while
+// one of the two is gone.
 func TestLeavesTheSourceToItsFeeders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		f := newFeederless(t, ctx)
+		f := newNonFeeder(t, ctx)
 		before := f.reads
 		feeders, _ := f.feeders()
-		for _, r := range []reach{silent, refuses, reaches} {
+		for _, r := range []reachability{silent, refusing, reachable} {
 			f.set(r, feeders[0])
 			time.Sleep(10 * time.Second)
 		}
 		if f.reads != before {
 			t.Errorf("the source was read %d times", f.reads-before)
 		}
-		f.accept() // and nobody tells of it
+		f.accept() // without a push
 		time.Sleep(time.Second)
-		f.holds(2)
+		f.checkHeld(2)
 	})
 }
 
-// A cut ends. Only the feeders may read the source from then on, or every node of a data
-// centre that once was cut off would keep a question open there.
-func TestGivesTheSourceBack(t *testing.T) {
+// Guards against nodes that go on reading the source after a partition has healed: every node of
+// the data centre would keep a long poll open.
+func TestStopsReadingOnceFeedersAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		f := newFeederless(t, ctx)
+		f := newNonFeeder(t, ctx)
 		feeders, _ := f.feeders()
 		f.set(silent, feeders...)
 		time.Sleep(3 * time.Second)
 		if !f.runner.Feeder() {
-			t.Fatal("the node doesn't read the source")
+			t.Fatal("the node does not read the source during the partition")
 		}
-		f.set(reaches, feeders...)
+		f.set(reachable, feeders...)
 		time.Sleep(time.Second)
 		if f.runner.Feeder() {
 			t.Error("the node still reads the source")
@@ -254,19 +253,19 @@
 	})
 }
 
-// A source was not asked for a while and keeps no changes from then. It answers: neither may
-// the logs say that it is lost, nor may the node ask all its peers.
+// Guards against a source that has compacted the changes since the last read counting as lost: the
+// node would log an outage and pull from all its peers.
 func TestSourceWithoutHistoryIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		f := newFeederless(t, ctx)
+		f := newNonFeeder(t, ctx)
 		f.set(silent, slices.Collect(maps.Keys(f.view.Records))...)
-		f.behind = true
+		f.compacted = true
 		f.accept()
 		time.Sleep(inForceWithin)
-		f.holds(2)
-		if f.behind || f.runner.state.Failing() {
+		f.checkHeld(2)
+		if f.compacted || f.runner.state.Failing() {
 			t.Error("the source counts as failing")
 		}
 	})
--- a/internal/follow/mesh_test.go
+++ b/internal/follow/mesh_test.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	sourceAnswer  = 4 * time.Millisecond // of a healthy source
-	sourceTimeout = 2 * time.Second      // after which a client gives a question up
+	sourceAnswer  = 4 * time.Millisecond // response time of a healthy source
+	sourceTimeout = 2 * time.Second      // after which a client gives up a request, beyond its hold
 	peerAnswer    = 2 * time.Millisecond
-	meshSettles   = 5 * time.Second
-	// inTouchAfter is for how long a node has to reach the source for the users' bound to
-	// hold on it.
-	inTouchAfter = 3 * time.Second
+	settleTime    = 5 * time.Second
+	// reachGrace is how long a node must have reached the source before the users' bound applies to
+	// it.
+	reachGrace = 3 * time.Second
 )
 
 var (
-	errSilent  = errors.New("no answer within the time")
-	errRefused = errors.New("turned away")
+	errSilent   = errors.New("no answer within the time")
+	errRejected = errors.New("request rejected")
 )
 
-// meshOfNodes is a mesh whose nodes follow one source, in virtual time.
-type meshOfNodes struct {
+// testMesh is a mesh whose nodes follow one source, in virtual time.
+type testMesh struct {
 	t     *testing.T
 	nodes map[string]*meshNode
 	ids   []string
@@ -43,10 +43,10 @@
 	services []config.Object // of the newest version
 	accepted []acceptedAt
 	changed  chan struct{} // closed when newest changes
-	delay    time.Duration // of each answer of the source
-	reads    int           // questions to the source
-	refuses  bool          // the source turns every question away at once
-	given    int           // versions that the source gave, each whole
+	delay    time.Duration // response time of the source
+	reads    int           // requests to the source
+	refuses  bool          // the source rejects every request at once
+	given    int           // versions that the source returned, each whole
 	within   time.Duration // in which a version has to be in force
 }
 
@@ -57,53 +57,53 @@
 
 // meshNode is one node, its source and its client.
 type meshNode struct {
-	m      *meshOfNodes
+	m      *testMesh
 	id     string
 	runner *Runner
 	views  membership.CurrentView
 
-	// Guarded by the mesh.
-	silent  bool      // the source leaves it without an answer
-	reaches time.Time // since when the source answers it
-	isle    int       // nodes of different isles don't reach each other
-	given   config.Version
-	asked   int // questions of this node to the source
+	// Guarded by testMesh.mu.
+	silent         bool      // the source does not answer it
+	reachableSince time.Time // since when the source answers it again
+	partition      int       // nodes of different partitions don't reach each other
+	given          config.Version
+	reads          int // requests of this node to the source
 }
 
 // withMesh runs test in virtual time with nodes in data centres of the given sizes that hold the
 // first version.
-func withMesh(t *testing.T, sizes []int, test func(m *meshOfNodes)) {
+func withMesh(t *testing.T, sizes []int, test func(m *testMesh)) {
 	withMeshWithin(t, inForceWithin, sizes, test)
 }
 
-// withAssuredMesh is withMesh for nodes whose assurances may grow assureWithin old.
-func withAssuredMesh(t *testing.T, sizes []int, test func(m *meshOfNodes)) {
+// withAssuredMesh is withMesh with assureWithin as the maximum age of an assurance.
+func withAssuredMesh(t *testing.T, sizes []int, test func(m *testMesh)) {
 	withMeshOf(t, bounds{inForce: inForceWithin, assured: assureWithin}, sizes, test)
 }
 
-// withMeshWithin is withMesh for versions that have to be in force within some time.
-func withMeshWithin(t *testing.T, within time.Duration, sizes []int, test func(m *meshOfNodes)) {
+// withMeshWithin is withMesh with a bound for versions to be in force.
+func withMeshWithin(t *testing.T, within time.Duration, sizes []int, test func(m *testMesh)) {
 	withMeshOf(t, bounds{inForce: within}, sizes, test)
 }
 
-// bounds is what users state of a mesh's nodes.
+// bounds are the bounds that users set for a mesh.
 type bounds struct {
 	inForce time.Duration // in which a version has to be in force
-	assured time.Duration // how old an assurance may grow; 0 asks for none
+	assured time.Duration // maximum age of an assurance, or 0 if none is needed
 }
 
-func withMeshOf(t *testing.T, b bounds, sizes []int, test func(m *meshOfNodes)) {
+func withMeshOf(t *testing.T, b bounds, sizes []int, test func(m *testMesh)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		m := newMeshOfNodes(t, ctx, b, sizes)
+		m := newTestMesh(t, ctx, b, sizes)
 		test(m)
 		stop()
-		time.Sleep(meshSettles) // until the messages under way have ended
+		time.Sleep(settleTime) // until the requests in flight have ended
 	})
 }
 
-func newMeshOfNodes(t *testing.T, ctx context.Context, b bounds, sizes []int) *meshOfNodes {
-	m := &meshOfNodes{
+func newTestMesh(t *testing.T, ctx context.Context, b bounds, sizes []int) *testMesh {
+	m := &testMesh{
 		t: t, nodes: make(map[string]*meshNode), newest: config.Empty(), changed: make(chan struct{}), delay: sourceAnswer, within: b.inForce,
 	}
 	records := make(map[string]*membership.ObservedRecord)
@@ -118,7 +118,7 @@
 	}
 	m.accept()
 	for _, id := range m.ids {
-		n := &meshNode{m: m, id: id, reaches: time.Now()}
+		n := &meshNode{m: m, id: id, reachableSince: time.Now()}
 		m.nodes[id] = n
 		n.views.Store(&membership.View{Self: id, Records: records})
 		store, err := config.NewStore(func(*config.Snapshot) (int, error) { return 0, nil })
@@ -133,11 +133,11 @@
 	for _, n := range m.nodes {
 		go n.runner.Run(ctx)
 	}
-	time.Sleep(meshSettles)
+	time.Sleep(settleTime)
 	return m
 }
 
-func (m *meshOfNodes) accept() {
+func (m *testMesh) accept() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	number := m.newest.Version().Number + 1
@@ -152,51 +152,51 @@
 	m.changed = make(chan struct{})
 }
 
-// silence has the source leave these nodes without an answer from now on, and answer all others.
-func (m *meshOfNodes) silence(silent func(*meshNode) bool) {
+// setSilent sets the nodes that the source does not answer; it answers all others.
+func (m *testMesh) setSilent(silent func(*meshNode) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, n := range m.nodes {
 		if was := n.silent; was && !silent(n) {
-			n.reaches = time.Now()
+			n.reachableSince = time.Now()
 		}
 		n.silent = silent(n)
 	}
 }
 
-// slow has the source answer after some time from now on.
-func (m *meshOfNodes) slow(delay time.Duration) {
+// setDelay sets the response time of the source.
+func (m *testMesh) setDelay(delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.delay = delay
 }
 
-func (m *meshOfNodes) read() (reads int) {
+func (m *testMesh) sourceReads() (reads int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.reads
 }
 
-// storm accepts versions for some time, and checks all along that each is in force in time on
-// the nodes that reach the source.
-func (m *meshOfNodes) storm(length, gap time.Duration) {
+// changeStorm accepts versions, and checks all along that each is in force in time on the nodes
+// that reach the source.
+func (m *testMesh) changeStorm(length, gap time.Duration) {
 	m.t.Helper()
-	const look = 50 * time.Millisecond
+	const checkInterval = 50 * time.Millisecond
 	next := gap
-	for at := time.Duration(0); at < length; at += look {
+	for at := time.Duration(0); at < length; at += checkInterval {
 		if at >= next {
 			m.accept()
 			next += gap
 		}
-		time.Sleep(look)
-		if !m.inTime() {
+		time.Sleep(checkInterval)
+		if !m.checkInForce() {
 			return
 		}
 	}
 }
 
-// inTime checks every node for which the users' bound holds.
-func (m *meshOfNodes) inTime() bool {
+// checkInForce checks every node to which the users' bound applies.
+func (m *testMesh) checkInForce() bool {
 	m.t.Helper()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -208,11 +208,11 @@
 	}
 	for _, id := range m.ids {
 		n := m.nodes[id]
-		if n.silent || time.Since(n.reaches) <= inTouchAfter {
+		if n.silent || time.Since(n.reachableSince) <= reachGrace {
 			continue
 		}
 		if got := n.runner.held.Load().Version().Number; got < due {
-			m.t.Errorf("%s reaches the source, and holds version %d more than %v after %d was accepted", id, got, m.within, due)
+			m.t.Errorf("%s reaches the source, but holds version %d more than %v after version %d was accepted", id, got, m.within, due)
 			return false
 		}
 	}
@@ -223,7 +223,7 @@
 func (n *meshNode) Next(ctx context.Context, hold time.Duration) (*config.Snapshot, error) {
 	n.m.mu.Lock()
 	n.m.reads++
-	n.asked++
+	n.reads++
 	delay := n.m.delay
 	n.m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, hold+sourceTimeout)
@@ -238,20 +238,20 @@
 		switch {
 		case refuses:
 			time.Sleep(sourceAnswer)
-			return nil, errRefused
+			return nil, errRejected
 		case silent:
 			<-ctx.Done()
 			return nil, errSilent
 		case newest.Version().Newer(n.given):
 			time.Sleep(delay)
 			n.given = newest.Version()
-			n.m.gave()
+			n.m.countGiven()
 			return newest, nil
 		}
 		select {
 		case <-changed:
 		case <-held.Done():
-			if n.answers() {
+			if n.sourceAnswers() {
 				time.Sleep(delay)
 				return nil, nil
 			}
@@ -261,31 +261,33 @@
 	}
 }
 
-func (m *meshOfNodes) gave() {
+func (m *testMesh) countGiven() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.given++
 }
 
-// refuse has the source turn all questions away, or not, and returns how many versions it has given.
-func (m *meshOfNodes) refuse(refuses bool) (given int) {
+// setRefusing sets whether the source rejects all requests, and returns how many versions it has
+// returned so far.
+func (m *testMesh) setRefusing(refuses bool) (given int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refuses = refuses
 	return m.given
 }
 
-func (n *meshNode) answers() bool {
+func (n *meshNode) sourceAnswers() bool {
 	n.m.mu.Lock()
 	defer n.m.mu.Unlock()
 	return !n.silent
 }
 
-// to returns the runner of a peer once a message to it has arrived, or an error where it can't.
-func (n *meshNode) to(ctx context.Context, id string) (*Runner, error) {
+// deliver returns the runner of a peer after the transit time of a message, or an error if the peer
+// is in another partition.
+func (n *meshNode) deliver(ctx context.Context, id string) (*Runner, error) {
 	n.m.mu.Lock()
 	peer := n.m.nodes[id]
-	reached := peer.isle == n.isle
+	reached := peer.partition == n.partition
 	n.m.mu.Unlock()
 	if !reached {
 		<-ctx.Done()
@@ -297,7 +299,7 @@
 
 // Push implements distribute.Client.
 func (n *meshNode) Push(ctx context.Context, addr string, changes *peerpb.Packed) error {
-	peer, err := n.to(ctx, addr)
+	peer, err := n.deliver(ctx, addr)
 	if err != nil {
 		return err
 	}
@@ -310,14 +312,14 @@
 
 // Pull implements distribute.Client.
 func (n *meshNode) Pull(ctx context.Context, to, _ string, q *peerpb.PullRequest) (*peerpb.PullResponse, error) {
-	peer, err := n.to(ctx, to)
+	peer, err := n.deliver(ctx, to)
 	if err != nil {
 		return nil, err
 	}
 	return peer.ServePull(q)
 }
 
-// startCodec has the shared codec of messages make its channels outside of the tests' bubbles.
+// startCodec makes the shared codec of messages create its channels outside of synctest bubbles.
 func startCodec(t *testing.T) {
 	t.Helper()
 	var objects []config.Object
--- a/internal/follow/pull.go
+++ b/internal/follow/pull.go
@@ -12,22 +12,22 @@
 	"github.com/marlpass/marlpass/internal/wait"
 )
 
-// ErrBadAnswer marks a peer's answer that holds no version that can be used.
-var ErrBadAnswer = errors.New("follow: the peer's answer holds no whole version")
+// ErrBadAnswer is returned for a peer's answer without a usable version.
+var ErrBadAnswer = errors.New("follow: the peer's answer contains no usable version")
 
 const (
-	// tickEvery is how often the state is asked whether a pull is due.
-	tickEvery = 50 * time.Millisecond
-	// pullTimeout bounds one pull: a version is tens of kilobytes, and a peer
-	// that cannot send them in this time is no help.
+	// pullTick is the interval between checks whether a pull is due.
+	pullTick = 50 * time.Millisecond
+	// pullTimeout bounds one pull. A version takes tens of kilobytes; a peer that cannot send them
+	// in this time is of no use.
 	pullTimeout = time.Second
 )
 
-// learn pulls from peers what the source does not bring.
-func (r *Runner) learn(ctx context.Context) {
-	for wait.For(ctx, tickEvery) == nil {
+// pullFromPeers pulls the versions that arrive neither from the source nor by a push.
+func (r *Runner) pullFromPeers(ctx context.Context) {
+	for wait.For(ctx, pullTick) == nil {
 		r.mu.Lock()
-		peer, due := r.state.Pull(time.Now(), r.rng, r.deps.Views.Load())
+		peer, due := r.state.NextPull(time.Now(), r.rng, r.deps.Views.Load())
 		r.mu.Unlock()
 		if due {
 			r.pull(ctx, peer)
@@ -38,29 +38,29 @@
 func (r *Runner) pull(ctx context.Context, peer string) {
 	defer func() {
 		r.mu.Lock()
-		r.state.Pulled(time.Now(), peer)
+		r.state.PullEnded(time.Now(), peer)
 		r.mu.Unlock()
 	}()
-	asked := r.clock.At(time.Now())
+	sentAt := r.clock.At(time.Now())
 	resp, snap, err := r.fetch(ctx, peer)
 	if err != nil {
 		if ctx.Err() == nil {
-			r.missed(FindingNotGiven, peer, err, "follow: a peer did not give its version")
+			r.logPeerFailure(FindingPullFailed, peer, err, "follow: a peer did not give its version")
 		}
 		return
 	}
 	if snap != nil {
 		r.offer(snap, peer)
 	}
-	r.confirm(resp.Confirmed, resp.Version)
-	r.assure(asked, resp.Confirmed, resp.Version)
+	r.recordConfirmation(resp.Confirmed, resp.Version)
+	r.recordAssurance(sentAt, resp.Confirmed, resp.Version)
 }
 
-// fetch returns a peer's answer, and its version if it is newer than the one held.
+// fetch returns a peer's answer, and the version in it if that is newer than the one held.
 func (r *Runner) fetch(ctx context.Context, peer string) (*peerpb.PullResponse, *config.Snapshot, error) {
 	rec := r.deps.Views.Load().Records[peer]
 	if rec == nil {
-		return nil, nil, fmt.Errorf("%w: %s is not in the membership", ErrBadAnswer, peer)
+		return nil, nil, fmt.Errorf("%w: peer %q is not in the membership", ErrBadAnswer, peer)
 	}
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
@@ -74,7 +74,7 @@
 	return resp, snap, err
 }
 
-// unpack returns the version that an answer leads to, or nil if it brings none.
+// unpack returns the version in an answer, or nil if there is none.
 func (r *Runner) unpack(resp *peerpb.PullResponse) (*config.Snapshot, error) {
 	if resp.Changes == nil {
 		return nil, nil
--- a/internal/follow/runner.go
+++ b/internal/follow/runner.go
@@ -18,25 +18,25 @@
 )
 
 const (
-	// maxRecent bounds the versions kept to tell what has changed since. A node
-	// that is further behind gets the whole of the newest.
+	// maxRecent bounds the versions kept to compute deltas for peers. A peer that is further behind
+	// gets the whole snapshot.
 	maxRecent = 16
 	// maxTimeline bounds the versions whose times are kept.
 	maxTimeline = 64
 )
 
-// Deps are what a Runner works with.
+// Deps are the dependencies of a Runner.
 type Deps struct {
 	Source Source
 	Views  *membership.CurrentView
 	Client distribute.Client
 	Store  distribute.Store
 	Log    zerolog.Logger
-	// OnFinding counts findings; it may be nil.
+	// OnFinding is called for each finding; it may be nil.
 	OnFinding func(Finding)
 }
 
-// Runner follows a source and serves what it holds to peers.
+// Runner follows a source and serves the version held to peers.
 type Runner struct {
 	deps Deps
 	set  Settings
@@ -45,16 +45,16 @@
 	state    *State
 	rng      *rand.Rand
 	timeline []distribute.Timing
-	recent   []*config.Snapshot // the last that were held, oldest first
-
-	tells    *semaphore.Weighted
-	offering sync.Mutex // one version is put in force at a time
-	held     atomic.Pointer[config.Snapshot]
-	inForce  atomic.Uint64
-	packed   atomic.Pointer[packedVersion]
-	question atomic.Pointer[question] // that the source holds, or nil
-	misses   zerolog.Logger
-	clock    bootclock.Clock
+	recent   []*config.Snapshot // previously held versions, oldest first
+
+	pushes      *semaphore.Weighted
+	offerMu     sync.Mutex // serializes offer
+	held        atomic.Pointer[config.Snapshot]
+	inForce     atomic.Uint64
+	packed      atomic.Pointer[packedVersion]
+	pendingPoll atomic.Pointer[sourcePoll] // long poll in progress, or nil
+	burstLog    zerolog.Logger
+	clock       bootclock.Clock
 }
 
 type packedVersion struct {
@@ -65,8 +65,8 @@
 // NewRunner returns a runner for a node that has just started.
 func NewRunner(set Settings, deps Deps) *Runner {
 	r := &Runner{
-		deps: deps, set: set, state: NewState(set, time.Now()), tells: semaphore.NewWeighted(maxTells),
-		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), misses: sparing(deps.Log),
+		deps: deps, set: set, state: NewState(set, time.Now()), pushes: semaphore.NewWeighted(maxPushes),
+		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), burstLog: limitBursts(deps.Log),
 	}
 	r.held.Store(config.Empty())
 	return r
@@ -75,23 +75,23 @@
 // Run follows the source and pulls from peers until ctx ends. It returns nil.
 func (r *Runner) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
-	wg.Go(func() { r.follow(ctx) })
-	wg.Go(func() { r.learn(ctx) })
-	wg.Go(func() { r.keepContact(ctx) })
+	wg.Go(func() { r.followSource(ctx) })
+	wg.Go(func() { r.pullFromPeers(ctx) })
+	wg.Go(func() { r.queryParents(ctx) })
 	wg.Wait()
 	return nil
 }
 
-// offer puts a version in force if it is newer than all that was seen.
+// offer puts a version in force if it is newer than all versions seen.
 //
-// One that does not compile counts as seen: the running version stays in force,
-// and the same version is not fetched over and over.
+// A version that does not compile counts as seen: the running version stays in force, and the same
+// version is not fetched again and again.
 func (r *Runner) offer(snap *config.Snapshot, from string) {
-	r.offering.Lock()
-	defer r.offering.Unlock()
+	r.offerMu.Lock()
+	defer r.offerMu.Unlock()
 	v := snap.Version()
 	r.mu.Lock()
-	newer := r.state.Take(v)
+	newer := r.state.Advance(v)
 	r.mu.Unlock()
 	if !newer {
 		return
@@ -99,14 +99,14 @@
 	start := time.Now()
 	inForce, err := r.deps.Store.Offer(snap)
 	before := r.held.Swap(snap)
-	r.remember(before)
+	r.keepRecent(before)
 	if from == fromSource {
-		r.noteRead(start)
+		r.recordRead(start)
 	}
-	r.tellOthers(snap, before, from)
+	r.pushVersion(snap, before, from)
 	if err != nil || !inForce {
 		r.deps.Log.Error().Uint64("version", v.Number).Str("from", from).Err(err).
-			Msg("follow: the version cannot be put in force, the running one stays")
+			Msg("follow: the version cannot be put in force, the previous one stays")
 		return
 	}
 	r.inForce.Store(v.Number)
@@ -120,15 +120,16 @@
 		Msg("follow: version in force")
 }
 
-// Stamp returns what messages carry of this node's versions.
+// Stamp returns the versions and the confirmation that messages of this node carry.
 func (r *Runner) Stamp() distribute.Stamp {
-	// The confirmation is taken first: it holds for a later version too, but not for an earlier one.
+	// The confirmation is read first: it also holds for a later version, but not for an earlier
+	// one.
 	confirmed := r.confirmation(time.Now())
 	v := r.held.Load().Version()
 	return distribute.Stamp{Version: v, Behind: v.Number - min(r.inForce.Load(), v.Number), Confirmed: confirmed}
 }
 
-// confirmation returns what messages tell of the version held.
+// confirmation returns the confirmation of the version held, for messages.
 func (r *Runner) confirmation(now time.Time) *peerpb.Confirmation {
 	boot := r.clock.At(now)
 	r.mu.Lock()
@@ -142,34 +143,35 @@
 	return c
 }
 
-// confirm takes what a peer that holds the version number tells of it. That an older version
-// was the newest at some time confirms the one held as well.
-func (r *Runner) confirm(c *peerpb.Confirmation, number uint64) {
+// recordConfirmation records the confirmation of a peer that holds version number. A confirmation
+// of an older version also confirms the version held.
+func (r *Runner) recordConfirmation(c *peerpb.Confirmation, number uint64) {
 	if c.GetReader() == "" || number > r.held.Load().Version().Number {
 		return
 	}
 	confirmed := distribute.ConfirmationFromProto(time.Now(), c)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state.Confirm(confirmed.At, confirmed.Reader)
+	r.state.RecordConfirmation(confirmed.At, confirmed.Reader)
 }
 
-// ConfirmedAge tells since when nothing has confirmed the version held, and by whom.
+// ConfirmedAge returns the age of the last confirmation of the version held, and the ID of the node
+// that read it from the source.
 func (r *Runner) ConfirmedAge() (age time.Duration, reader string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.ConfirmedAge(time.Now())
 }
 
-// Held returns the newest version held, and whether the source answers, so that
-// there is none newer.
+// Held returns the newest version held, and whether the source answers, so that no version is
+// newer.
 func (r *Runner) Held() (config.Version, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Held(), !r.state.Failing()
 }
 
-// Ready reports whether the node may carry traffic, and if not, why.
+// Ready reports whether the node can carry traffic, and the reason if it cannot.
 func (r *Runner) Ready() (bool, string) {
 	if r.inForce.Load() == 0 {
 		return false, "no version is known yet"
@@ -177,7 +179,7 @@
 	return true, ""
 }
 
-// Timeline returns when the latest versions came into force, oldest first.
+// Timeline returns when the most recent versions came into force, oldest first.
 func (r *Runner) Timeline() []distribute.Timing {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/follow/serve.go
+++ b/internal/follow/serve.go
@@ -8,8 +8,8 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// ServePull answers a peer's pull with the whole version if it is newer than the
-// peer's. It is packed once a version: many peers ask for the same one.
+// ServePull answers a peer's pull with a delta, or with the whole version if the peer's version is
+// no longer kept here. A snapshot is packed once per version, because many peers pull the same one.
 func (r *Runner) ServePull(q *peerpb.PullRequest) (*peerpb.PullResponse, error) {
 	confirmed := r.Stamp().Confirmed
 	snap := r.held.Load()
@@ -36,8 +36,7 @@
 	return resp, nil
 }
 
-// since returns what has changed since the version that a peer holds, or nil when
-// that version is not known here.
+// since returns the delta from the version that a peer holds, or nil if that version is not known.
 func (r *Runner) since(q *peerpb.PullRequest, snap *config.Snapshot) *config.Delta {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/follow/silent_test.go
+++ b/internal/follow/silent_test.go
@@ -9,19 +9,18 @@
 	"github.com/marlpass/marlpass/internal/distribute"
 )
 
-// Guards against versions that come late where the source leaves those nodes without an answer
-// that read it for the others.
+// Guards against late versions while the source does not answer its readers.
 func TestSourceSilentForItsReaders(t *testing.T) {
 	startCodec(t)
 	for _, size := range []int{3, 5, 24} {
 		for moment := time.Duration(0); moment < time.Second; moment += 100 * time.Millisecond {
 			for _, one := range []int{0, size / 2, size - 1} {
 				t.Run(fmt.Sprintf("%d_nodes_after_%v_but_%d", size, moment, one), func(t *testing.T) {
-					withMesh(t, []int{size}, func(m *meshOfNodes) {
+					withMesh(t, []int{size}, func(m *testMesh) {
 						time.Sleep(moment)
 						reaching := m.ids[one]
-						m.silence(func(n *meshNode) bool { return n.id != reaching })
-						m.storm(9*time.Second, 400*time.Millisecond)
+						m.setSilent(func(n *meshNode) bool { return n.id != reaching })
+						m.changeStorm(9*time.Second, 400*time.Millisecond)
 					})
 				})
 			}
@@ -29,97 +28,98 @@
 	}
 }
 
-// Guards against versions that come late, or not at all, on nodes that reach the source, in drawn
-// troubles: sources that are silent for some nodes, data centres that are cut off, both at once.
+// Guards against late or missing versions on nodes that reach the source under random faults: a
+// source that is silent for some nodes, partitioned data centres, and both at once.
 func TestReachingNodesHoldVersionsInTime(t *testing.T) {
 	startCodec(t)
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint("seed_", seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 36))
-			withMesh(t, []int{3 + rng.IntN(6), 3 + rng.IntN(6), 3 + rng.IntN(20)}, func(m *meshOfNodes) {
+			withMesh(t, []int{3 + rng.IntN(6), 3 + rng.IntN(6), 3 + rng.IntN(20)}, func(m *testMesh) {
 				gap := 200*time.Millisecond + time.Duration(rng.Int64N(int64(3*time.Second)))
 				for range 3 {
-					m.trouble(rng)
-					m.storm(time.Second+time.Duration(rng.Int64N(int64(6*time.Second))), gap)
+					m.injectFaults(rng)
+					m.changeStorm(time.Second+time.Duration(rng.Int64N(int64(6*time.Second))), gap)
 				}
 			})
 		})
 	}
 }
 
-// trouble draws for whom the source is silent, and which data centre is cut off.
-func (m *meshOfNodes) trouble(rng *rand.Rand) {
+// injectFaults draws the nodes for which the source is silent, and the data centre that is
+// partitioned.
+func (m *testMesh) injectFaults(rng *rand.Rand) {
 	share := rng.Float64()
 	silent := make(map[string]bool)
 	for _, id := range m.ids {
 		silent[id] = rng.Float64() < share
 	}
-	m.silence(func(n *meshNode) bool { return silent[n.id] })
-	cut := fmt.Sprint("dc", rng.IntN(6)) // half of the time none
+	m.setSilent(func(n *meshNode) bool { return silent[n.id] })
+	cut := fmt.Sprint("dc", rng.IntN(6)) // none in half of the cases
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, n := range m.nodes {
-		n.isle = 0
+		n.partition = 0
 		if n.runner.set.DataCentre == cut {
-			n.isle = 1
+			n.partition = 1
 		}
 	}
 }
 
-// Guards against a source that every node of a data centre asks while it answers all of them.
-func TestCalmSourceIsAskedByItsFeeders(t *testing.T) {
+// Guards against nodes that are no feeders reading the source while it answers the feeders.
+func TestHealthySourceIsReadByFeedersOnly(t *testing.T) {
 	startCodec(t)
 	for _, size := range []int{3, 24, 60} {
-		withMesh(t, []int{size}, func(m *meshOfNodes) {
-			before := m.askedByOthers()
-			m.storm(10*time.Second, 300*time.Millisecond)
-			m.storm(20*time.Second, time.Minute)
-			if asked := m.askedByOthers() - before; asked > 0 {
-				t.Errorf("%d nodes: nodes that are no feeders asked the source %d times", size, asked)
+		withMesh(t, []int{size}, func(m *testMesh) {
+			before := m.readsByNonFeeders()
+			m.changeStorm(10*time.Second, 300*time.Millisecond)
+			m.changeStorm(20*time.Second, time.Minute)
+			if requests := m.readsByNonFeeders() - before; requests > 0 {
+				t.Errorf("%d nodes: nodes that are no feeders read the source %d times", size, requests)
 			}
 		})
 	}
 }
 
-// askedByOthers counts the questions of nodes that are no feeders.
-func (m *meshOfNodes) askedByOthers() (asked int) {
+// readsByNonFeeders counts the requests of nodes that are no feeders.
+func (m *testMesh) readsByNonFeeders() (requests int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, n := range m.nodes {
 		if !distribute.IsFeeder(n.views.Load(), n.id, n.runner.set.DataCentre) {
-			asked += n.asked
+			requests += n.reads
 		}
 	}
-	return asked
+	return requests
 }
 
-// Guards against a flood of questions from nodes that all take their feeders for silent, where
-// the source is down or merely slow. 1,200 nodes may ask 2,000 times a second.
+// Guards against a flood of requests from nodes that all take their feeders for unanswered while
+// the source is down or merely slow. 1,200 nodes may send 2,000 requests per second.
 func TestSilentOrSlowSourceIsNotFlooded(t *testing.T) {
 	startCodec(t)
 	const length = 10 * time.Second
 	for _, size := range []int{24, 240} {
-		withMesh(t, []int{size}, func(m *meshOfNodes) {
+		withMesh(t, []int{size}, func(m *testMesh) {
 			bound := size * int(length/time.Second)
-			asked := func(what string, during func()) {
-				before := m.read()
+			requests := func(what string, during func()) {
+				before := m.sourceReads()
 				during()
-				reads := m.read() - before
-				t.Logf("%d nodes, %s: %d questions in %v", size, what, reads, length)
+				reads := m.sourceReads() - before
+				t.Logf("%d nodes, %s: %d requests in %v", size, what, reads, length)
 				if reads > bound {
-					t.Errorf("%d nodes, %s: %d questions in %v, want %d at most", size, what, reads, length, bound)
+					t.Errorf("%d nodes, %s: %d requests in %v, want at most %d", size, what, reads, length, bound)
 				}
 			}
-			asked("silent for all", func() {
-				m.silence(func(*meshNode) bool { return true })
+			requests("silent for all", func() {
+				m.setSilent(func(*meshNode) bool { return true })
 				time.Sleep(length)
-				m.silence(func(*meshNode) bool { return false })
+				m.setSilent(func(*meshNode) bool { return false })
 			})
-			time.Sleep(meshSettles)
+			time.Sleep(settleTime)
 			for _, delay := range []time.Duration{300 * time.Millisecond, time.Second} {
-				m.slow(delay)
-				asked(fmt.Sprint("slow by ", delay), func() { time.Sleep(length) })
-				asked(fmt.Sprint("changes, slow by ", delay), func() {
+				m.setDelay(delay)
+				requests(fmt.Sprint("slow by ", delay), func() { time.Sleep(length) })
+				requests(fmt.Sprint("changes, slow by ", delay), func() {
 					for range length / (500 * time.Millisecond) {
 						m.accept()
 						time.Sleep(500 * time.Millisecond)
@@ -130,44 +130,44 @@
 	}
 }
 
-// Guards against versions that come late on a node that the source answers again, kept by a question
-// that was not answered and by the pause after it.
+// Guards against late versions on a node that the source answers again, delayed by a request that
+// timed out and the pause after it.
 func TestNodeAnsweredAgainHoldsVersionsInTime(t *testing.T) {
 	startCodec(t)
 	for moment := time.Duration(0); moment < 4*time.Second; moment += 100 * time.Millisecond {
 		for _, one := range []int{0, 3} {
 			t.Run(fmt.Sprintf("after_%v_node_%d", moment, one), func(t *testing.T) {
-				withMesh(t, []int{6}, func(m *meshOfNodes) {
-					m.silence(func(*meshNode) bool { return true })
+				withMesh(t, []int{6}, func(m *testMesh) {
+					m.setSilent(func(*meshNode) bool { return true })
 					time.Sleep(10*time.Second + moment)
 					reaching := m.ids[one]
-					m.silence(func(n *meshNode) bool { return n.id != reaching })
-					m.storm(8*time.Second, 400*time.Millisecond)
+					m.setSilent(func(n *meshNode) bool { return n.id != reaching })
+					m.changeStorm(8*time.Second, 400*time.Millisecond)
 				})
 			})
 		}
 	}
 }
 
-// Guards against nodes that all read the whole document when a source that was down answers again.
-func TestReturningSourceIsReadByFew(t *testing.T) {
+// Guards against all nodes reading the whole document when a source that was down answers again.
+func TestRecoveredSourceIsReadByFew(t *testing.T) {
 	startCodec(t)
 	const size, times = 24, 10
 	read := 0
-	withMesh(t, []int{size}, func(m *meshOfNodes) {
+	withMesh(t, []int{size}, func(m *testMesh) {
 		for i := range times {
-			m.refuse(true)
+			m.setRefusing(true)
 			m.accept()
 			time.Sleep(8*time.Second + time.Duration(i)*100*time.Millisecond)
-			before := m.refuse(false)
+			before := m.setRefusing(false)
 			time.Sleep(inForceWithin)
-			m.inTime()
-			read += m.refuse(false) - before
-			time.Sleep(meshSettles)
+			m.checkInForce()
+			read += m.setRefusing(false) - before
+			time.Sleep(settleTime)
 		}
 	})
 	t.Logf("%.1f of %d nodes read the document", float64(read)/times, size)
 	if read > size/4*times {
-		t.Errorf("%d documents were read at %d returns of the source to %d nodes", read, times, size)
+		t.Errorf("%d documents were read in %d recoveries of the source by %d nodes", read, times, size)
 	}
 }
--- a/internal/follow/source.go
+++ b/internal/follow/source.go
@@ -10,190 +10,190 @@
 	"github.com/marlpass/marlpass/internal/wait"
 )
 
-// Source gives the versions that were accepted elsewhere.
+// Source returns the versions that were accepted elsewhere.
 type Source interface {
-	// Next waits up to hold for a version newer than the last one that it returned, and
-	// returns the newest. It returns nil without an error when there was none.
+	// Next waits up to hold for a version newer than the last one that it returned, and returns the
+	// newest version. It returns nil without an error if there was none.
 	Next(ctx context.Context, hold time.Duration) (*config.Snapshot, error)
 }
 
-// ErrNoVersion is what a Source returns while nothing was accepted yet.
+// ErrNoVersion is returned by a Source while no version was accepted yet.
 var ErrNoVersion = errors.New("follow: no version is accepted yet")
 
-// ErrCompacted is what a Source returns that answers, but was not asked for longer than it keeps
-// what has changed. Asked again, it gives the newest version whole.
-var ErrCompacted = errors.New("follow: the changes since are not kept any more")
+// ErrCompacted is returned by a Source that answers, but no longer keeps the changes since the last
+// request. The next request returns the newest version whole.
+var ErrCompacted = errors.New("follow: the changes since the last read were compacted away")
 
-// fromSource is what the log says of a version that came from the source.
+// fromSource is the value of the log field "from" for a version read from the source.
 const fromSource = "source"
 
 const (
-	// sourceRetry and sourceRetryMax bound the full-jitter waits between questions of a node
-	// that has just started to a source that fails, and feederRetryMax those of a feeder.
-	sourceRetry    = 100 * time.Millisecond
-	sourceRetryMax = 1500 * time.Millisecond
-	feederRetryMax = 500 * time.Millisecond
-	maxShift       = 5
-	// standInRetry and up to standInSpread more is the pause of a node that reads in place of the
-	// feeders. When a source that was down answers again, the feeders are to read it first, and
-	// to confirm the version to all others before these read it whole.
-	standInRetry  = 1500 * time.Millisecond
-	standInSpread = 500 * time.Millisecond
-	// nonePause is how long a node waits that was told that there is no version yet: until
-	// it has joined, and knows whether it is a feeder.
-	nonePause = time.Second
-	// roleEvery is how often a node that is no feeder looks whether it became one, and one
-	// that has just started whether it is to read the source by itself.
-	roleEvery = 50 * time.Millisecond
+	// sourceRetry and sourceRetryMax bound the full-jitter backoff of a node that has just started,
+	// and feederRetryMax that of a feeder, while the source fails.
+	sourceRetry     = 100 * time.Millisecond
+	sourceRetryMax  = 1500 * time.Millisecond
+	feederRetryMax  = 500 * time.Millisecond
+	maxBackoffShift = 5
+	// fallbackRetry plus up to fallbackRetrySpread is the retry delay of a node that reads in place
+	// of its feeders. When a source that was down answers again, the feeders must read it first and
+	// confirm the version to the others, before these read the whole document.
+	fallbackRetry       = 1500 * time.Millisecond
+	fallbackRetrySpread = 500 * time.Millisecond
+	// noVersionPause is how long a node waits after the source reported that there is no version
+	// yet. By then it has joined and knows whether it is a feeder.
+	noVersionPause = time.Second
+	// roleCheckInterval is how often a node that does not read the source checks whether it has to.
+	roleCheckInterval = 50 * time.Millisecond
 )
 
-// question is one that the source holds.
-type question struct {
-	hold time.Duration
-	stop context.CancelFunc
+// sourcePoll is a long poll held by the source.
+type sourcePoll struct {
+	hold   time.Duration
+	cancel context.CancelFunc
 }
 
-// follow takes what the source has.
-func (r *Runner) follow(ctx context.Context) {
-	fails := 0
+// followSource reads the source while this node has to; see State.ReadsSource.
+func (r *Runner) followSource(ctx context.Context) {
+	failures := 0
 	for ctx.Err() == nil {
 		if !r.Feeder() {
-			_ = wait.For(ctx, roleEvery)
+			_ = wait.For(ctx, roleCheckInterval)
 			continue
 		}
-		asked := time.Now()
-		askedBoot := r.clock.At(asked)
-		snap, err := r.next(ctx)
+		sentAt := time.Now()
+		sentBoot := r.clock.At(sentAt)
+		snap, err := r.readSource(ctx)
 		answered := time.Now()
 		switch {
 		case ctx.Err() != nil:
 			return
-		case errors.Is(err, errWithdrawn):
+		case errors.Is(err, errPollCancelled):
 			continue
 		case errors.Is(err, ErrNoVersion):
-			r.noteNone()
-			_ = wait.For(ctx, nonePause)
+			r.recordNoVersion()
+			_ = wait.For(ctx, noVersionPause)
 			continue
 		case errors.Is(err, ErrCompacted):
-			r.noteSource(nil)
+			r.recordSourceResult(nil)
 			_ = wait.For(ctx, rand.N(sourceRetry))
 			continue
 		case err != nil && !r.Feeder():
-			// Others have read the source meanwhile.
+			// Other nodes have read the source meanwhile.
 			continue
 		}
-		r.noteSource(err)
+		r.recordSourceResult(err)
 		if err != nil {
-			fails++
-			// A question that ended at its time-out has been a pause by itself.
-			_ = wait.For(ctx, r.retryIn(fails)-answered.Sub(asked))
+			failures++
+			// The time of a request that timed out counts towards the delay.
+			_ = wait.For(ctx, r.retryDelay(failures)-answered.Sub(sentAt))
 			continue
 		}
-		fails = 0
+		failures = 0
 		if snap != nil {
 			r.offer(snap, fromSource)
 		}
-		r.noteRead(answered)
-		r.assuredBySource(askedBoot)
-		r.report()
+		r.recordRead(answered)
+		r.recordSourceAssurance(sentBoot)
+		r.pushConfirmation()
 		if snap != nil {
-			// In a storm only the newest version counts.
-			_ = wait.For(ctx, r.set.confirmEvery()-time.Since(answered))
+			// Under frequent changes only the newest version matters.
+			_ = wait.For(ctx, r.set.confirmInterval()-time.Since(answered))
 		}
 	}
 }
 
-// retryIn is how long to wait after a number of failures in a row.
-func (r *Runner) retryIn(fails int) time.Duration {
+// retryDelay returns the delay after a number of consecutive failures.
+func (r *Runner) retryDelay(failures int) time.Duration {
 	r.mu.Lock()
-	standIn, started := r.state.StandsIn(r.deps.Views.Load()), r.state.fed()
+	fallback, started := r.state.IsFallbackReader(r.deps.Views.Load()), r.state.receivesVersions()
 	r.mu.Unlock()
-	if standIn {
-		return standInRetry + rand.N(standInSpread)
+	if fallback {
+		return fallbackRetry + rand.N(fallbackRetrySpread)
 	}
-	longest := sourceRetryMax
+	maxDelay := sourceRetryMax
 	if started {
-		longest = feederRetryMax
+		maxDelay = feederRetryMax
 	}
-	return rand.N(min(sourceRetry<<min(fails, maxShift), longest))
+	return rand.N(min(sourceRetry<<min(failures, maxBackoffShift), maxDelay))
 }
 
-// errWithdrawn means that this node withdrew a question, to ask one that is held less long.
-var errWithdrawn = errors.New("follow: the question was withdrawn")
+// errPollCancelled means that this node cancelled a long poll to send one that is held for less
+// time.
+var errPollCancelled = errors.New("follow: the long poll was cancelled")
 
-// next asks the source for a newer version.
-func (r *Runner) next(ctx context.Context) (*config.Snapshot, error) {
-	bounded, stop := context.WithCancel(ctx)
-	defer stop()
-	q := &question{r.hold(), stop}
-	r.question.Store(q)
+// readSource reads a newer version from the source.
+func (r *Runner) readSource(ctx context.Context) (*config.Snapshot, error) {
+	bounded, cancel := context.WithCancel(ctx)
+	defer cancel()
+	q := &sourcePoll{r.pollHold(), cancel}
+	r.pendingPoll.Store(q)
 	snap, err := r.deps.Source.Next(bounded, q.hold)
-	r.question.Store(nil)
+	r.pendingPoll.Store(nil)
 	if err != nil && bounded.Err() != nil {
-		return nil, errWithdrawn
+		return nil, errPollCancelled
 	}
 	return snap, err
 }
 
-// hold is for how long the source may hold a question of this node now.
-func (r *Runner) hold() time.Duration {
+// pollHold returns how long the source may hold a request of this node now.
+func (r *Runner) pollHold() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.state.Hold(time.Now(), r.deps.Views.Load())
+	return r.state.PollHold(time.Now(), r.deps.Views.Load())
 }
 
-// withdraw ends a question that is held longer than it may be now.
-func (r *Runner) withdraw() {
-	if q := r.question.Load(); q != nil && q.hold > r.set.confirmEvery() && r.hold() <= r.set.confirmEvery() {
-		q.stop()
+// cancelLongPoll cancels a long poll that the source holds for longer than it may by now.
+func (r *Runner) cancelLongPoll() {
+	if q := r.pendingPoll.Load(); q != nil && q.hold > r.set.confirmInterval() && r.pollHold() <= r.set.confirmInterval() {
+		q.cancel()
 	}
 }
 
-// report tells those that others ask that the source has answered.
-func (r *Runner) report() {
+// pushConfirmation sends the new confirmation to the nodes that others query.
+func (r *Runner) pushConfirmation() {
 	view := r.deps.Views.Load()
 	r.mu.Lock()
-	peers := r.state.Reports(view)
+	peers := r.state.ReportTargets(view)
 	r.mu.Unlock()
-	r.tellAll(view, peers, nil)
+	r.pushAll(view, peers, nil)
 }
 
-// noteNone notes that the source answers, and has nothing yet.
-func (r *Runner) noteNone() {
+// recordNoVersion records that the source answers, and holds no version yet.
+func (r *Runner) recordNoVersion() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state.None(time.Now())
-	r.state.Read(time.Now())
+	r.state.RecordNoVersion(time.Now())
+	r.state.RecordRead(time.Now())
 }
 
-// noteRead notes that the source has said at some time that no version is newer than the one
+// recordRead records that the source reported at that time that no version is newer than the one
 // held now.
-func (r *Runner) noteRead(at time.Time) {
+func (r *Runner) recordRead(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state.Read(at)
+	r.state.RecordRead(at)
 }
 
-// noteSource logs when the source is lost and when it is back.
-func (r *Runner) noteSource(err error) {
+// recordSourceResult records whether the source answered, and logs when that changes.
+func (r *Runner) recordSourceResult(err error) {
 	r.mu.Lock()
-	was := r.state.Failing()
-	r.state.Source(time.Now(), err == nil)
+	wasFailing := r.state.Failing()
+	r.state.RecordSourceResult(time.Now(), err == nil)
 	r.mu.Unlock()
 	switch {
-	case err != nil && !was:
+	case err != nil && !wasFailing:
 		age, reader := r.ConfirmedAge()
 		r.deps.Log.Warn().Err(err).Uint64("held", r.Stamp().Version.Number).
 			Dur("confirmed_ago", age).Str("confirmed_by", reader).
-			Msg("follow: the source of versions does not answer, peers are asked")
-	case err == nil && was:
-		r.deps.Log.Info().Uint64("held", r.Stamp().Version.Number).Msg("follow: the source of versions answers")
+			Msg("follow: the source of versions does not answer, pulling from peers")
+	case err == nil && wasFailing:
+		r.deps.Log.Info().Uint64("held", r.Stamp().Version.Number).Msg("follow: the source of versions answers again")
 	}
 }
 
-// Feeder reports whether this node is to follow the source; see State.Feeds.
+// Feeder reports whether this node has to read the source; see State.ReadsSource.
 func (r *Runner) Feeder() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.state.Feeds(time.Now(), r.deps.Views.Load())
+	return r.state.ReadsSource(time.Now(), r.deps.Views.Load())
 }
--- a/internal/follow/start_test.go
+++ b/internal/follow/start_test.go
@@ -10,17 +10,17 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// feeds checks whether the node reads the source after some time.
-func (n *node) feeds(after time.Duration, v *membership.View, want bool) {
+// checkReadsSource checks whether the node reads the source after some time.
+func (n *node) checkReadsSource(after time.Duration, v *membership.View, want bool) {
 	n.t.Helper()
 	n.now = n.now.Add(after)
-	if got := n.Feeds(n.now, v); got != want {
+	if got := n.ReadsSource(n.now, v); got != want {
 		n.t.Fatalf("reads the source after %v: %v", n.now.Sub(start), got)
 	}
 }
 
-// crowd is a data centre in which "me" is no feeder.
-func crowd(t *testing.T) *membership.View {
+// nonFeederView returns a data centre in which "me" is no feeder.
+func nonFeederView(t *testing.T) *membership.View {
 	var ids []string
 	for i := range 1000 {
 		ids = append(ids, fmt.Sprint("n", i))
@@ -28,58 +28,59 @@
 			return v
 		}
 	}
-	t.Fatal("the node is a feeder in any company")
+	t.Fatal("no view found in which the node is no feeder")
 	return nil
 }
 
-// Half of the VMs lose power and start again at one moment. Each read the whole document
-// from the platform's store, over its slow link and with its sixth of a core, and refused
-// its callers for a second, though the node that let it in holds the version, packed.
+// Guards against a slow mass restart: when half of the VMs restarted, each read the whole document
+// from the store over its slow link, on a sixth of a core, and refused its callers for a second,
+// although the node that it joined through held the version, packed.
 func TestStartsFromAPeer(t *testing.T) {
 	n := newNode(t)
-	many := crowd(t)
-	n.feeds(10*time.Millisecond, many, false)
-	n.Heard(n.now, "n1", version(79))
-	n.pull(50*time.Millisecond, many, "n1")
-	if !n.Take(version(79)) {
-		t.Fatal("the peer's version was not taken")
+	many := nonFeederView(t)
+	n.checkReadsSource(10*time.Millisecond, many, false)
+	n.RecordClaim(n.now, "n1", version(79))
+	n.checkPull(50*time.Millisecond, many, "n1")
+	if !n.Advance(version(79)) {
+		t.Fatal("the peer's version was not applied")
 	}
-	n.Pulled(n.now, "n1")
-	n.pull(time.Minute, many, "") // the feeders tell from now on
+	n.PullEnded(n.now, "n1")
+	n.checkPull(time.Minute, many, "") // the feeders push from now on
 }
 
-// A peer has told of its version and is gone, or too busy to give it. The node that has
-// just started must not wait for it longer than it takes to read the source.
-func TestStartsFromTheSourceWherePeersDont(t *testing.T) {
+// Guards against a starting node that waits for a peer which is gone, or too busy to answer, for
+// longer than it takes to read the source.
+func TestStartsFromSourceWhenPeersFail(t *testing.T) {
 	n := newNode(t)
-	many := crowd(t)
-	n.Heard(n.now, "n1", version(79))
-	n.feeds(time.Second, many, false)
-	n.feeds(time.Second, many, true)
+	many := nonFeederView(t)
+	n.RecordClaim(n.now, "n1", version(79))
+	n.checkReadsSource(time.Second, many, false)
+	n.checkReadsSource(time.Second, many, true)
 }
 
-// A node starts alone, or cut off from all others, with the source in reach.
+// Guards against a node that starts alone, or partitioned from all others, and never reads the
+// source.
 func TestStartsFromTheSourceAlone(t *testing.T) {
 	n := newNode(t)
-	n.feeds(0, view(), false)
-	n.feeds(400*time.Millisecond, view(), true)
+	n.checkReadsSource(0, view(), false)
+	n.checkReadsSource(400*time.Millisecond, view(), true)
 }
 
-// All VMs start at one moment, and nobody holds a version. Those with fast links read the
-// source at once. The others leave it to them while they know of any, and pull at the
-// first word; where all links are slow, waiting for each other would help nobody.
+// Guards against a deadlock, or reads by all, when all VMs start at once and none holds a version.
+// Nodes with fast links read the source at once. The others wait while they know such a node, and
+// pull at its first message. If all links are slow, they must not wait for each other.
 func TestAllStartTogether(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e", "f", "me"}
 	reading := func(fast int, after time.Duration) (n int) {
 		v := view(ids...)
 		for _, id := range ids {
-			v.Records[id].VM.LinkMbps = slowLink
+			v.Records[id].VM.LinkMbps = slowLinkMbps
 		}
 		for _, id := range ids[:fast] {
-			v.Records[id].VM.LinkMbps = fastLink
+			v.Records[id].VM.LinkMbps = fastLinkMbps
 		}
 		for _, id := range ids {
-			if NewState(Defaults(id, "dc", v.Records[id].VM.LinkMbps), start).Feeds(start.Add(after), v) {
+			if NewState(Defaults(id, "dc", v.Records[id].VM.LinkMbps), start).ReadsSource(start.Add(after), v) {
 				n++
 			}
 		}
@@ -95,20 +96,19 @@
 		}
 	}
 	n := newNode(t)
-	n.None(n.now)
-	n.Heard(n.now, "a", version(1))
-	n.pull(0, view("a", "b", "c"), "a")
+	n.RecordNoVersion(n.now)
+	n.RecordClaim(n.now, "a", version(1))
+	n.checkPull(0, view("a", "b", "c"), "a")
 }
 
-// The operators have not written anything when the VMs start. A node that is no feeder asked
-// the store all the same, with a question that waits, and all of them got the first
-// document from it at one moment.
+// Guards against long polls of all nodes on an empty store: nodes that are no feeders polled as
+// well, and the store sent all of them the first document at the same moment.
 func TestLeavesAnEmptySourceToTheFeeders(t *testing.T) {
 	n := newNode(t)
-	many := crowd(t)
-	n.feeds(2*time.Second, many, true)
-	n.None(n.now)
-	n.feeds(time.Minute, many, false)
+	many := nonFeederView(t)
+	n.checkReadsSource(2*time.Second, many, true)
+	n.RecordNoVersion(n.now)
+	n.checkReadsSource(time.Minute, many, false)
 	if n.Held() != config.Empty().Version() || n.Failing() {
 		t.Error("a source without a version counts as failing")
 	}
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -117,7 +117,7 @@
 // runners are the files in them that wait, or run the decisions by the clock.
 var runners = []string{
 	"distribute/perform.go", "distribute/runner.go",
-	"follow/ask.go", "follow/pull.go", "follow/runner.go", "follow/source.go", "follow/tell.go",
+	"follow/pull.go", "follow/push.go", "follow/query.go", "follow/runner.go", "follow/source.go",
 	"limit/gate.go",
 	"membership/runner.go",
 	"once/batcher.go", "once/claim.go",
--- a/internal/localmesh/rollout_test.go
+++ b/internal/localmesh/rollout_test.go
@@ -121,7 +121,7 @@
 	return n
 }
 
-// Guards against a server of a new version that runs calls before a conductor lets it, and
+// Guards against a server of a new version that runs calls before a coordinator lets it, and
 // one of the baseline that still runs calls when the rollout is completed.
 func TestRolloutCompletes(t *testing.T) {
 	m := startRolloutMesh(t, 0)
--- a/internal/node/conduct.go
+++ b/internal/node/conduct.go
@@ -44,7 +44,7 @@
 	return &conducting{n: n, log: telemetry.Part(n.log, "rollout"), set: rollout.Defaults()}
 }
 
-// run starts a conductor for each order that comes in, until ctx ends.
+// run starts a coordinator for each order that comes in, until ctx ends.
 func (c *conducting) run(ctx context.Context) {
 	if c.n.o.Orders == nil {
 		<-ctx.Done()
@@ -170,7 +170,7 @@
 	return r.write(ctx, r.c.Record())
 }
 
-// elapsed returns the time since the order. Where an earlier conductor has noted when it
+// elapsed returns the time since the order. Where an earlier coordinator has noted when it
 // heard of it, that counts, as long as the clocks of the two can be right.
 func (r *oneRollout) elapsed(now time.Time, record rollout.Record) time.Duration {
 	own := now.Sub(r.heard)
--- a/internal/node/rollout_peer.go
+++ b/internal/node/rollout_peer.go
@@ -91,7 +91,7 @@
 }
 
 // count has the servers of a service count for the order of an instruction. What they
-// counted for it before, under another conductor, stays. The caller holds r.mu.
+// counted for it before, under another coordinator, stays. The caller holds r.mu.
 func (r *rollouts) count(i rollout.Instruction) {
 	for _, s := range r.backends(i.Service) {
 		if s.order != i.Order {
--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -7,24 +7,24 @@
 	"slices"
 )
 
-// Evidence is what servers of both versions did with their calls over the same time.
+// Evidence holds the call results of servers of both versions over the same period.
 type Evidence struct {
 	// Canaries and Baseline hold the counts of each server by class.
 	Canaries, Baseline []map[string]Counts
-	// Failures are the canaries' by class, against what the baseline's lead to expect.
+	// Failures holds the failures of the canaries by class, compared with the baseline's.
 	Failures map[string]Failures
 }
 
-// Failures are the failed calls of the canaries of some class, summed over rounds.
+// Failures holds the failed calls of the canaries in one class, summed over rounds.
 type Failures struct {
 	Calls, Failed uint32
-	// Expected is how many would have failed at the baseline in the same rounds, and
-	// Variance that of the difference.
+	// Expected is the number of failures at the failure rate of the baseline in the same rounds,
+	// and Variance the variance of the difference.
 	Expected, Variance float64
 }
 
-// Add adds the counts of one round. Rounds are compared one by one: the canaries' part of the
-// calls differs from round to round, and so does the share that fails anywhere.
+// Add adds the counts of one round. Rounds are compared one by one, because the canaries' share of
+// the calls and the failure rate of the whole service differ from round to round.
 func (f *Failures) Add(canary, baseline Counts) {
 	n, m := float64(canary.Calls), float64(baseline.Calls)
 	if n == 0 || m == 0 {
@@ -44,52 +44,52 @@
 	f.Variance += other.Variance
 }
 
-// Bounds of a comparison.
+// Thresholds of a comparison.
 const (
-	// condemnSigmas is by how many standard deviations failures have to lie above what is
-	// expected. Some dozen classes are compared twice a second for minutes.
-	condemnSigmas = 4.5
-	// failExcess is by how much their share has to lie above the baseline's.
-	failExcess = 0.03
-	// failFewest is the fewest failures that condemn a version, and mildFewest where its
-	// share of failures lies less than failPlain above the baseline's: the nodes beside new
-	// servers have just started, and fail a few more calls when the mesh is in trouble.
-	failFewest = 5
-	mildFewest = 16
-	failPlain  = 0.15
-	// slowFewest is the fewest answers by which slowness is judged, and mixedFewest by which
-	// their variance is.
-	slowFewest  = 40
-	mixedFewest = 100
-	// slowShift is the least difference of the mean logarithms of answer times that
-	// condemns a version, where the servers of either are many: a factor of two.
-	slowShift = 0.7
-	// speedSpread is the least standard deviation of the logarithm of a server's speed that
-	// is allowed for: servers of one version differ by a factor of two or three.
-	speedSpread = 0.4
-	// slowSigmas is by how many standard deviations answers have to be slower.
+	// failureSigmas is the number of standard deviations by which failures must exceed the expected
+	// number. It is high because some dozen classes are compared twice a second for minutes.
+	failureSigmas = 4.5
+	// minFailureExcess is the minimum excess of the failure rate over the baseline's.
+	minFailureExcess = 0.03
+	// minFailures is the minimum number of failures that reject a version. It is
+	// minFailuresSmallExcess if the failure rate exceeds the baseline's by less than
+	// largeFailureExcess: nodes of new servers have just started, and fail a few more calls during
+	// faults of the mesh.
+	minFailures            = 5
+	minFailuresSmallExcess = 16
+	largeFailureExcess     = 0.15
+	// minTimedAnswers is the minimum number of answers for comparing response times, and
+	// minVarianceAnswers for comparing their variance.
+	minTimedAnswers    = 40
+	minVarianceAnswers = 100
+	// minSlowShift is the minimum difference of the mean logarithms of response times that rejects
+	// a version with many servers on both sides: a factor of two.
+	minSlowShift = 0.7
+	// minSpeedStdDev is the minimum standard deviation assumed for the logarithm of a server's
+	// speed: servers of one version differ by a factor of two or three.
+	minSpeedStdDev = 0.4
+	// slowSigmas is the number of standard deviations by which answers must be slower.
 	slowSigmas = 4.5
-	// mixedRatio is by what factor the variance of the answer times of one server has to
-	// exceed the baseline's, and mixedSigmas by how many standard deviations.
-	mixedRatio  = 1.4
-	mixedSigmas = 5
-	// bucketWidth is the width of a bucket of answer times, as a logarithm.
+	// minVarianceRatio is the factor by which the variance of response times at one server must
+	// exceed the baseline's, and varianceSigmas the number of standard deviations.
+	minVarianceRatio = 1.4
+	varianceSigmas   = 5
+	// bucketWidth is the width of a bucket of response times, as a natural logarithm.
 	bucketWidth = math.Ln2 / 2
 )
 
-// Compare returns why the canaries' version is worse than the baseline's, or "".
+// Compare returns the reason why the canaries' version is worse than the baseline's, or "".
 //
-// Both are compared over the same time and class by class, so that trouble of the
-// whole service, or of a service that it calls, tells nothing of a version. Where
-// there are several canaries, two of them have to show the fault: one alone may be a
-// faulty server.
+// The versions are compared over the same period and class by class, so that a fault of the whole
+// service, or of a service that it calls, does not count against a version. If there are several
+// canaries, at least two must show the fault, because a single one may be a faulty server.
 func Compare(e Evidence) string {
 	for _, class := range slices.Sorted(maps.Keys(sum(e.Canaries))) {
-		if why := failing(e.Failures[class]); why != "" && shown(e.Canaries, class, hasFailed) {
-			return fmt.Sprintf("class %s: %s", class, why)
+		if reason := failureReason(e.Failures[class]); reason != "" && enoughServersShow(e.Canaries, class, hasFailed) {
+			return fmt.Sprintf("class %s: %s", class, reason)
 		}
-		if why := slow(e, class); why != "" {
-			return fmt.Sprintf("class %s: %s", class, why)
+		if reason := slownessReason(e, class); reason != "" {
+			return fmt.Sprintf("class %s: %s", class, reason)
 		}
 	}
 	return ""
@@ -105,8 +105,8 @@
 
 func hasFailed(c Counts) bool { return c.Failed > 0 }
 
-// shown reports whether two servers show a fault, or the one that there is.
-func shown(servers []map[string]Counts, class string, faulty func(Counts) bool) bool {
+// enoughServersShow reports whether two servers show a fault, or the only one.
+func enoughServersShow(servers []map[string]Counts, class string, faulty func(Counts) bool) bool {
 	n := 0
 	for _, s := range servers {
 		if faulty(s[class]) {
@@ -116,55 +116,55 @@
 	return n >= min(2, len(servers))
 }
 
-func failing(f Failures) string {
+func failureReason(f Failures) string {
 	excess := (float64(f.Failed) - f.Expected) / float64(max(f.Calls, 1))
-	fewest := uint32(failFewest)
-	if excess < failPlain {
-		fewest = mildFewest
+	minFailed := uint32(minFailures)
+	if excess < largeFailureExcess {
+		minFailed = minFailuresSmallExcess
 	}
-	if f.Failed < fewest || excess < failExcess {
+	if f.Failed < minFailed || excess < minFailureExcess {
 		return ""
 	}
-	if float64(f.Failed)-f.Expected < condemnSigmas*math.Sqrt(f.Variance+1) {
+	if float64(f.Failed)-f.Expected < failureSigmas*math.Sqrt(f.Variance+1) {
 		return ""
 	}
 	return fmt.Sprintf("%d of %d calls failed, %.1f were to be expected by the baseline", f.Failed, f.Calls, f.Expected)
 }
 
-// slow holds the answer times of one class against each other, as logarithms.
+// slownessReason compares the logarithms of the response times of one class.
 //
-// Servers of one version differ in speed, and chance may give the canaries more slow ones.
-// So a version of which all answers are slower is told by a larger difference of the means
-// than that can make. One of which some answers are slower is told by the variance of the
-// times at each server by itself, on which its speed has no bearing.
-func slow(e Evidence, class string) string {
-	canaries, baseline := timesOf(e.Canaries, class), timesOf(e.Baseline, class)
+// Servers of one version differ in speed, and the canaries may include more slow ones by chance. A
+// version of which all answers are slower is therefore detected by a difference of the means that
+// chance does not explain. A version of which only some answers are slower is detected by the
+// variance of the times at each server, which does not depend on the server's speed.
+func slownessReason(e Evidence, class string) string {
+	canaries, baseline := timeStatsOf(e.Canaries, class), timeStatsOf(e.Baseline, class)
 	n, m := canaries.answers, baseline.answers
-	if n < slowFewest || m < slowFewest {
+	if n < minTimedAnswers || m < minTimedAnswers {
 		return ""
 	}
-	byChance := baseline.within * (1/n + 1/m)
-	bySpeed := max(speedSpread*speedSpread, baseline.between) * (1/canaries.servers + 1/baseline.servers)
+	samplingVariance := baseline.within * (1/n + 1/m)
+	speedVariance := max(minSpeedStdDev*minSpeedStdDev, baseline.between) * (1/canaries.servers + 1/baseline.servers)
 	shift := canaries.mean - baseline.mean
-	if shift > max(slowShift, slowSigmas*math.Sqrt(byChance+bySpeed)) {
+	if shift > max(minSlowShift, slowSigmas*math.Sqrt(samplingVariance+speedVariance)) {
 		return fmt.Sprintf("%.0f answers took %.1f times as long as %.0f of the baseline", n, math.Exp(shift), m)
 	}
 	ratio := canaries.within / max(baseline.within, bucketWidth*bucketWidth)
-	if n >= mixedFewest && ratio > mixedRatio && (ratio-1)/math.Sqrt(2/n+2/m) > mixedSigmas {
+	if n >= minVarianceAnswers && ratio > minVarianceRatio && (ratio-1)/math.Sqrt(2/n+2/m) > varianceSigmas {
 		return fmt.Sprintf("the times of %.0f answers vary %.1f times as much as those of %.0f of the baseline", n, ratio, m)
 	}
 	return ""
 }
 
-// times describes the logarithms of the answer times of some servers.
-type times struct {
+// timeStats describes the logarithms of the response times of some servers.
+type timeStats struct {
 	servers, answers float64
 	mean             float64
-	within, between  float64 // variance at one server, and of their means
+	within, between  float64 // variance within one server, and between the means of servers
 }
 
-func timesOf(servers []map[string]Counts, class string) times {
-	var out times
+func timeStatsOf(servers []map[string]Counts, class string) timeStats {
+	var out timeStats
 	var means []float64
 	var squares float64
 	for _, s := range servers {
@@ -176,8 +176,8 @@
 		means = append(means, mean)
 		out.answers += float64(c.answered())
 		for i, v := range c.Took {
-			off := float64(i)*bucketWidth - mean
-			squares += float64(v) * off * off
+			deviation := float64(i)*bucketWidth - mean
+			squares += float64(v) * deviation * deviation
 		}
 	}
 	out.servers = float64(max(len(means), 1))
--- a/internal/rollout/counts.go
+++ b/internal/rollout/counts.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// Buckets is the number of buckets of answer times. Bucket i holds answers that took less
-// than 2^(i/2) milliseconds and no less than the bucket before; the last has no upper bound.
+// Buckets is the number of buckets of response times. Bucket i holds answers that took less than
+// 2^(i/2) milliseconds and no less than the previous bucket's bound; the last one has no upper
+// bound.
 const Buckets = 28
 
-// Counts is what became of the calls of one class.
+// Counts holds the results of the calls of one class.
 type Counts struct {
 	Calls, Failed uint32
-	// Took counts answers by time.
+	// Took counts the answers by response time.
 	Took [Buckets]uint32
 }
 
@@ -28,8 +29,7 @@
 	}
 }
 
-// since returns what was counted after before. A server whose node has started again
-// counts from zero.
+// since returns the counts after before. A server whose node has restarted counts from zero.
 func (c Counts) since(before Counts) Counts {
 	if c.Calls < before.Calls || c.Failed < before.Failed {
 		return c
@@ -42,7 +42,7 @@
 	return c
 }
 
-// answered returns how many answers have a time.
+// answered returns the number of answers with a response time.
 func (c Counts) answered() uint32 {
 	var n uint32
 	for _, v := range c.Took {
@@ -51,7 +51,7 @@
 	return n
 }
 
-// mean returns the mean bucket of the answers, which is the logarithm of their times.
+// mean returns the mean bucket of the answers, a logarithm of their response times.
 func (c Counts) mean() float64 {
 	var sum float64
 	for i, v := range c.Took {
@@ -68,7 +68,7 @@
 	return min(int(2*math.Log2(ms))+1, Buckets-1)
 }
 
-// Tally counts the calls of one backend server by class, for many goroutines.
+// Tally counts the calls of one backend server by class. It is safe for concurrent use.
 type Tally struct {
 	byClass sync.Map // class to *classTally
 }
@@ -78,8 +78,8 @@
 	took          [Buckets]atomic.Uint32
 }
 
-// Add counts a call that has ended. Took counts only where timed is set: a server that
-// has just started is slow whatever its version.
+// Add counts a call that has ended. Its response time counts only if timed is set, because a server
+// that has just started is slow whatever its version.
 func (t *Tally) Add(class string, took time.Duration, timed, failed bool) {
 	v, ok := t.byClass.Load(class)
 	if !ok {
@@ -121,7 +121,7 @@
 	}
 }
 
-// sinceAll returns what was counted after before, by class.
+// sinceAll returns the counts after before, by class.
 func sinceAll(now, before map[string]Counts) map[string]Counts {
 	out := maps.Clone(now)
 	for class, c := range before {
@@ -130,8 +130,8 @@
 	return out
 }
 
-// calls returns the calls of all classes.
-func calls(counts map[string]Counts) uint32 {
+// totalCalls returns the number of calls of all classes.
+func totalCalls(counts map[string]Counts) uint32 {
 	var n uint32
 	for _, c := range counts {
 		n += c.Calls
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -6,57 +6,56 @@
 )
 
 const (
-	// disturbedFrom is the part of the sampled nodes whose loss disturbs a comparison, and
-	// calmAfter how long it does.
-	disturbedFrom = 0.15
-	calmAfter     = 1500 * time.Millisecond
+	// disturbedFraction is the fraction of sampled nodes whose loss disturbs a comparison, and
+	// disturbanceTime how long the disturbance lasts.
+	disturbedFraction = 0.15
+	disturbanceTime   = 1500 * time.Millisecond
 )
 
-// history is what a server has counted, by tick.
+// history holds the counts of a server by tick.
 type history struct {
-	version string
-	first   map[string]Counts // since when the whole time counts
-	prev    map[string]Counts // answered before last
-	last    map[string]Counts
-	recent  []map[string]Counts // oldest first, at most window
-	rate    float64             // calls a second
-	round   int                 // of messages that it last answered
-	reset   bool                // its node has started again since the answer before
-	at      time.Time
+	version    string
+	base       map[string]Counts // counts at the start of the whole period
+	prev       map[string]Counts // of the report before last
+	last       map[string]Counts
+	recent     []map[string]Counts // oldest first, at most recentTicks
+	rate       float64             // calls per second
+	round      int                 // round of the last report
+	reset      bool                // its node has restarted since the previous report
+	answeredAt time.Time
 }
 
-// RecordReports takes in what the node of a VM said of its servers, to a message of the phase
-// that stands.
-func (c *Coordinator) RecordReports(now time.Time, vm string, answers []ServerReport) {
-	c.told[vm] = true
-	for _, a := range answers {
-		key := Server{VM: vm, Instance: a.Instance}.key()
-		c.held[key] = c.record.Phase == Draining && a.Held && a.InFlight == 0
+// RecordReports records the reports of a VM's node on its servers, in reply to a message of the
+// current phase.
+func (c *Coordinator) RecordReports(now time.Time, vm string, reports []ServerReport) {
+	c.acknowledged[vm] = true
+	for _, report := range reports {
+		key := Server{VM: vm, Instance: report.Instance}.key()
+		c.idle[key] = c.record.Phase == Draining && report.Held && report.InFlight == 0
 		h := c.counts[key]
 		if h == nil {
-			h = &history{version: a.Version, at: now}
+			h = &history{version: report.Version, answeredAt: now}
 			c.counts[key] = h
-		} else if passed := now.Sub(h.at); passed > 0 {
-			h.reset = calls(a.Counts) < calls(h.last)
-			h.rate = float64(calls(sinceAll(a.Counts, h.last))) / passed.Seconds()
+		} else if passed := now.Sub(h.answeredAt); passed > 0 {
+			h.reset = totalCalls(report.Counts) < totalCalls(h.last)
+			h.rate = float64(totalCalls(sinceAll(report.Counts, h.last))) / passed.Seconds()
 		}
-		h.prev, h.last, h.at, h.round = h.last, a.Counts, now, c.round
-		h.recent = append(h.recent, a.Counts)
-		h.recent = h.recent[max(0, len(h.recent)-window):]
+		h.prev, h.last, h.answeredAt, h.round = h.last, report.Counts, now, c.round
+		h.recent = append(h.recent, report.Counts)
+		h.recent = h.recent[max(0, len(h.recent)-recentTicks):]
 	}
 }
 
-// disturbed notes whether many nodes were lost or started again between two rounds, and
-// reports whether that was lately.
+// disturbed reports whether many nodes were lost or restarted between two rounds, now or recently.
 //
-// It guards a good version. The loss of many nodes at once fails calls for a moment, in
-// numbers that differ from server to server, and takes with it what was counted of them. What
-// was counted until then tells nothing of a version any more, and the moment itself neither.
+// It guards a good version. The loss of many nodes at once makes calls fail for a moment, in
+// numbers that differ from server to server, and the counts of the lost nodes are gone. Neither the
+// earlier counts nor those of the moment itself say anything about the version.
 func (c *Coordinator) disturbed(now time.Time) bool {
 	lost, known := 0, 0
 	for _, s := range c.sampled() {
 		h := c.counts[s.key()]
-		if h == nil || !c.asked[s.VM] {
+		if h == nil || !c.messaged[s.VM] {
 			continue
 		}
 		known++
@@ -64,21 +63,21 @@
 			lost++
 		}
 	}
-	if float64(lost) > disturbedFrom*float64(known) {
-		c.calmAt = now.Add(calmAfter)
+	if float64(lost) > disturbedFraction*float64(known) {
+		c.undisturbedAt = now.Add(disturbanceTime)
 	}
-	if !now.Before(c.calmAt) {
+	if !now.Before(c.undisturbedAt) {
 		return false
 	}
 	for _, h := range c.counts {
-		h.first, h.recent = h.last, h.recent[len(h.recent)-1:]
+		h.base, h.recent = h.last, h.recent[len(h.recent)-1:]
 	}
 	c.rounds, c.failures = nil, make(map[string]Failures)
 	return true
 }
 
-// collect takes in the failures of the last round.
-func (c *Coordinator) collect() {
+// collectFailures adds the failures of the last round.
+func (c *Coordinator) collectFailures() {
 	canaries, baseline := make(map[string]Counts), make(map[string]Counts)
 	for _, s := range c.sampled() {
 		h := c.counts[s.key()]
@@ -98,7 +97,7 @@
 		round[class] = f
 	}
 	c.rounds = append(c.rounds, round)
-	c.rounds = c.rounds[max(0, len(c.rounds)-window):]
+	c.rounds = c.rounds[max(0, len(c.rounds)-recentTicks):]
 	mergeAll(c.failures, round)
 }
 
@@ -110,25 +109,25 @@
 	}
 }
 
-// condemned returns why the target version is worse than the baseline, or "": over the
-// whole time, or lately. Servers whose nodes didn't answer the last messages tell nothing:
-// as many nodes are lost, those that are left would be held against the time before.
-func (c *Coordinator) condemned() string {
-	whole, late := Evidence{Failures: c.failures}, Evidence{Failures: make(map[string]Failures)}
+// rejectReason returns the reason why the target version is worse than the baseline, over the whole
+// period or recently, or "". Servers whose nodes did not reply to the last messages are left out:
+// when many nodes are lost, the remaining ones would be compared with an earlier period.
+func (c *Coordinator) rejectReason() string {
+	whole, recent := Evidence{Failures: c.failures}, Evidence{Failures: make(map[string]Failures)}
 	for _, round := range c.rounds {
-		mergeAll(late.Failures, round)
+		mergeAll(recent.Failures, round)
 	}
 	for _, s := range c.sampled() {
 		h := c.counts[s.key()]
 		if h == nil || h.round != c.round {
 			continue
 		}
-		all, lately := sinceAll(h.last, h.first), sinceAll(h.last, h.recent[0])
+		all, recentCounts := sinceAll(h.last, h.base), sinceAll(h.last, h.recent[0])
 		if s.Version == c.order.Target {
-			whole.Canaries, late.Canaries = append(whole.Canaries, all), append(late.Canaries, lately)
+			whole.Canaries, recent.Canaries = append(whole.Canaries, all), append(recent.Canaries, recentCounts)
 		} else {
-			whole.Baseline, late.Baseline = append(whole.Baseline, all), append(late.Baseline, lately)
+			whole.Baseline, recent.Baseline = append(whole.Baseline, all), append(recent.Baseline, recentCounts)
 		}
 	}
-	return cmp.Or(Compare(whole), Compare(late))
+	return cmp.Or(Compare(whole), Compare(recent))
 }
--- a/internal/rollout/grants.go
+++ b/internal/rollout/grants.go
@@ -2,27 +2,26 @@
 
 import "slices"
 
-// canaries returns the servers of the target version that take calls while the rollout
-// runs: so many that their speeds are as mixed as the baseline's, and each gets a call a
-// tick.
+// canaries returns the servers of the target version that take calls while the rollout runs. There
+// are enough for their speeds to be as mixed as the baseline's, but each gets a call per tick.
 func (c *Coordinator) canaries() []Server {
-	target := slices.DeleteFunc(c.of(true), func(s Server) bool { return !s.Reachable })
+	target := slices.DeleteFunc(c.serversOf(true), func(s Server) bool { return !s.Reachable })
 	n := int(c.rate() * c.set.Share * c.set.Tick.Seconds())
-	return spread(target, min(max(n, fewestCanaries), mostCanaries))
+	return evenlySpaced(target, min(max(n, minCanaries), maxCanaries))
 }
 
 // sampled returns the servers whose counts are compared.
 func (c *Coordinator) sampled() []Server {
 	canaries := c.canaries()
-	if !c.expanding.IsZero() || c.record.Phase != Running {
-		canaries = spread(c.of(true), mostCanaries)
+	if !c.openedAt.IsZero() || c.record.Phase != Running {
+		canaries = evenlySpaced(c.serversOf(true), maxCanaries)
 	}
-	return append(slices.Clone(canaries), spread(c.of(false), mostBaseline)...)
+	return append(slices.Clone(canaries), evenlySpaced(c.serversOf(false), maxBaseline)...)
 }
 
-// spread returns n of the servers, evenly spaced in their order, so that they lie in
-// several data centres.
-func spread(servers []Server, n int) []Server {
+// evenlySpaced returns n servers at even distances in the given order, so that they cover several
+// data centres.
+func evenlySpaced(servers []Server, n int) []Server {
 	if len(servers) <= n {
 		return servers
 	}
@@ -33,70 +32,70 @@
 	return out
 }
 
-// Messages returns what is to be told to which nodes now.
+// Messages returns the messages to send now.
 func (c *Coordinator) Messages() []Message {
 	c.round++
 	grants := make(map[string]Grant)
 	switch {
 	case c.record.Phase.Final():
 		for _, s := range c.servers {
-			if !c.told[s.VM] {
+			if !c.acknowledged[s.VM] {
 				grants[s.VM] = Grant{}
 			}
 		}
-	case c.record.Phase == Draining || !c.expanding.IsZero():
-		for _, s := range c.of(true) {
+	case c.record.Phase == Draining || !c.openedAt.IsZero():
+		for _, s := range c.serversOf(true) {
 			grants[s.VM] = Grant{Kind: GrantOpen, TTL: c.set.GrantTTL}
 		}
-		for _, s := range c.of(false) {
-			if c.record.Phase == Draining && !c.held[s.key()] {
+		for _, s := range c.serversOf(false) {
+			if c.record.Phase == Draining && !c.idle[s.key()] {
 				grants[s.VM] = Grant{}
 			}
 		}
 	}
 	if !c.record.Phase.Final() {
-		c.sample(grants)
+		c.addSampled(grants)
 	}
-	return c.messages(grants)
+	return c.buildMessages(grants)
 }
 
-// sample adds those whose counts are compared; while the rollout runs, the canaries get
-// their part of the calls.
-func (c *Coordinator) sample(grants map[string]Grant) {
+// addSampled adds the servers whose counts are compared; while the rollout runs, the canaries get
+// their share of the calls.
+func (c *Coordinator) addSampled(grants map[string]Grant) {
 	for _, s := range c.sampled() {
-		if _, told := grants[s.VM]; !told {
+		if _, present := grants[s.VM]; !present {
 			grants[s.VM] = Grant{}
 		}
 	}
-	if c.record.Phase == Running && c.expanding.IsZero() {
-		c.grant(c.canaries(), grants)
+	if c.record.Phase == Running && c.openedAt.IsZero() {
+		c.grantCanaries(c.canaries(), grants)
 	}
 }
 
-// grant gives the canaries their calls until the next tick. What doesn't divide goes to
-// other ones each time.
-func (c *Coordinator) grant(canaries []Server, grants map[string]Grant) {
+// grantCanaries grants the canaries their calls until the next tick. The remainder of the division
+// goes to different canaries each time.
+func (c *Coordinator) grantCanaries(canaries []Server, grants map[string]Grant) {
 	n := len(canaries)
 	if n == 0 {
 		return
 	}
-	whole := firstCalls * n
+	whole := initialCalls * n
 	if rate := c.rate(); rate > 0 {
-		c.owed += rate * c.set.Share * c.set.Tick.Seconds()
-		whole = int(c.owed)
-		c.owed -= float64(whole)
+		c.callCredit += rate * c.set.Share * c.set.Tick.Seconds()
+		whole = int(c.callCredit)
+		c.callCredit -= float64(whole)
 	}
 	for i, s := range canaries {
 		calls := whole / n
-		if (i+c.ticks)%n < whole%n {
+		if (i+c.grantTicks)%n < whole%n {
 			calls++
 		}
 		grants[s.VM] = Grant{Kind: GrantLimited, Calls: calls, TTL: c.set.GrantTTL}
 	}
-	c.ticks++
+	c.grantTicks++
 }
 
-// rate returns the calls a second of the whole service, or zero if it isn't known.
+// rate returns the calls per second of the whole service, or zero if unknown.
 func (c *Coordinator) rate() float64 {
 	var rate float64
 	known := 0
@@ -109,15 +108,15 @@
 	if known == 0 {
 		return 0
 	}
-	return rate / float64(known) * float64(len(c.of(false)))
+	return rate / float64(known) * float64(len(c.serversOf(false)))
 }
 
-func (c *Coordinator) messages(grants map[string]Grant) []Message {
+func (c *Coordinator) buildMessages(grants map[string]Grant) []Message {
 	vms := make([]string, 0, len(grants))
-	c.asked = make(map[string]bool, len(grants))
+	c.messaged = make(map[string]bool, len(grants))
 	for vm := range grants {
 		vms = append(vms, vm)
-		c.asked[vm] = true
+		c.messaged[vm] = true
 	}
 	slices.Sort(vms)
 	out := make([]Message, len(vms))
--- a/internal/rollout/inbox.go
+++ b/internal/rollout/inbox.go
@@ -5,8 +5,7 @@
 	"sync"
 )
 
-// Inbox holds the newest order for each service that this node has heard of. It's safe
-// for concurrent use.
+// Inbox holds the newest order received for each service. It is safe for concurrent use.
 type Inbox struct {
 	mu      sync.Mutex
 	orders  map[string]Order
@@ -18,7 +17,7 @@
 	return &Inbox{orders: make(map[string]Order), changed: make(chan struct{}, 1)}
 }
 
-// Put takes an order in, unless a later one for its service is known.
+// Put adds an order, unless a later one for its service is known.
 func (i *Inbox) Put(o Order) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -32,7 +31,7 @@
 	}
 }
 
-// Changed holds an element after an order came in.
+// Changed returns a channel that holds an element after an order was added.
 func (i *Inbox) Changed() <-chan struct{} { return i.changed }
 
 // All returns the newest order for each service.
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -13,13 +13,13 @@
 	modelClass = "lookup"
 )
 
-// fault is a way in which a version is bad.
+// fault is a fault of a version.
 type fault struct {
 	name string
-	// failed and slowed are the shares of answers that fail, or take slowBy times as long.
+	// failed and slowed are the fractions of answers that fail, or take slowBy times as long.
 	failed, slowed, slowBy float64
-	after                  time.Duration // since the order
-	// underLoad is the share of the service's calls from which on the fault shows.
+	after                  time.Duration // start of the fault, since the order
+	// underLoad is the fraction of the service's calls at which the fault starts to show.
 	underLoad float64
 }
 
@@ -32,46 +32,46 @@
 	{name: "fails under load", failed: 0.5, underLoad: 0.3},
 }
 
-// modelServer is one server with its guard and tally.
+// modelServer is a server with its admission controller and tally.
 type modelServer struct {
 	Server
-	speed    float64
-	guard    AdmissionController
-	tally    *Tally
-	busy     []time.Time // ends of the calls that run
-	left     int
-	leftFrom Admission
+	speed      float64
+	controller AdmissionController
+	tally      *Tally
+	callEnds   []time.Time // end of each recent call
+	callsLeft  int
+	admitted   Admission
 }
 
-// model is a service whose calls go at random to the servers that take any. Time is
-// virtual; steps are as long as a tick.
+// model is a service whose calls go to random servers among those that take calls. Time is virtual,
+// in steps of a tick.
 type model struct {
-	rng     *rand.Rand
-	now     time.Time
-	set     Settings
-	order   Order
-	begin   time.Time
-	servers []*modelServer
-	rate    float64 // calls a second of the whole service
-	failing float64 // share of failed answers of any version
-	bad     *fault
-
-	record    Record // in the table
-	token     uint64
-	conductor *Coordinator
-
-	total, exposed int // calls since the order, and those that the new version ran
+	rng       *rand.Rand
+	now       time.Time
+	set       Settings
+	order     Order
+	startedAt time.Time
+	servers   []*modelServer
+	rate      float64 // calls per second of the whole service
+	failing   float64 // fraction of failed answers at any version
+	bad       *fault
+
+	record      Record // in the table
+	token       uint64
+	coordinator *Coordinator
+
+	total, exposed int // calls since the order, and those run by the new version
 	badAnswers     int
-	fiftieth       time.Time     // moment of the 50th bad answer
-	late           int           // calls of the new version after fiftieth and the bound
-	cut            int           // calls that ran at the baseline when it was stopped
-	ended          time.Duration // from the order until the verdict
+	fiftiethBadAt  time.Time     // time of the 50th bad answer
+	lateCalls      int           // calls of the new version more than rollbackBound after fiftiethBadAt
+	cutCalls       int           // calls that ran at the baseline when it was stopped
+	verdictAfter   time.Duration // time from the order until the final phase
 }
 
-// longestCall is the time after which callers are answered that the deadline has passed.
+// longestCall is the maximum duration of a call, after which the caller gets a deadline error.
 const longestCall = 2500 * time.Millisecond
 
-// rollbackBound is the operators' bound from the 50th bad answer on.
+// rollbackBound is the operators' bound from the 50th bad answer until the rollback.
 const rollbackBound = 5 * time.Second
 
 func newModel(seed uint64, servers int, rate float64, within time.Duration, bad *fault) *model {
@@ -80,7 +80,7 @@
 		rate: rate, failing: 0.004, bad: bad,
 		order: Order{Service: "s", Target: newVersion, TimeLimit: within, Revision: 7},
 	}
-	m.begin = m.now
+	m.startedAt = m.now
 	for _, version := range []string{oldVersion, newVersion} {
 		for i := range servers {
 			m.servers = append(m.servers, &modelServer{
@@ -92,16 +92,16 @@
 	return m
 }
 
-// conduct makes a new conductor, as after the loss of the one before.
-func (m *model) conduct() {
+// startCoordinator starts a new coordinator, as after the loss of the previous one.
+func (m *model) startCoordinator() {
 	m.token++
-	m.conductor = NewCoordinator(m.set, m.now, m.order, m.record, m.token, m.now.Sub(m.begin))
-	m.record = m.conductor.Record()
+	m.coordinator = NewCoordinator(m.set, m.now, m.order, m.record, m.token, m.now.Sub(m.startedAt))
+	m.record = m.coordinator.Record()
 }
 
-// tick passes the time of one tick, with the conductor's step at its begin.
+// tick advances the model by one tick, which the coordinator's step begins.
 func (m *model) tick() {
-	if m.conductor != nil {
+	if m.coordinator != nil {
 		m.step()
 	}
 	n := int(m.rate * m.set.Tick.Seconds())
@@ -116,32 +116,32 @@
 	for _, s := range m.servers {
 		seen = append(seen, s.Server)
 	}
-	m.conductor.SetServers(seen)
-	if next, changed := m.conductor.Step(m.now); changed {
+	m.coordinator.SetServers(seen)
+	if next, changed := m.coordinator.Step(m.now); changed {
 		m.record = next
-		m.conductor.RecordWritten(next)
+		m.coordinator.RecordWritten(next)
 		if next.Phase.Final() {
-			m.ended = m.now.Sub(m.begin)
+			m.verdictAfter = m.now.Sub(m.startedAt)
 		}
-		m.stopped()
+		m.countCutCalls()
 	}
-	for _, message := range m.conductor.Messages() {
+	for _, message := range m.coordinator.Messages() {
 		for _, s := range m.servers {
 			if s.VM == message.VM && s.Reachable {
-				s.guard.Apply(m.now, message.Instruction)
-				m.conductor.RecordReports(m.now, s.VM, []ServerReport{m.answer(s)})
+				s.controller.Apply(m.now, message.Instruction)
+				m.coordinator.RecordReports(m.now, s.VM, []ServerReport{m.report(s)})
 			}
 		}
 	}
 }
 
-// killHalf kills and restarts the nodes of every second server. For a moment half of the calls
-// fail at those servers of the new version that are left.
+// killHalf kills and restarts the nodes of every second server. Half of the calls at the remaining
+// servers of the new version fail for a moment.
 func (m *model) killHalf() {
 	for i, s := range m.servers {
 		if i%2 == 0 {
-			s.guard, s.tally = AdmissionController{}, new(Tally)
-			s.guard.ApplyTable(m.now, m.order, m.record)
+			s.controller, s.tally = AdmissionController{}, new(Tally)
+			s.controller.ApplyTable(m.now, m.order, m.record)
 		} else if s.Version == newVersion {
 			for n := range 6 {
 				s.tally.Add(modelClass, time.Second, true, n%2 == 0)
@@ -150,19 +150,19 @@
 	}
 }
 
-// stopped counts the calls that the end of the baseline cuts off.
-func (m *model) stopped() {
+// countCutCalls counts the calls that the end of the baseline interrupts.
+func (m *model) countCutCalls() {
 	if m.record.Phase != Completed {
 		return
 	}
 	for _, s := range m.servers {
 		if s.Version == oldVersion && s.Reachable {
-			m.cut += s.inFlight(m.now)
+			m.cutCalls += s.inFlight(m.now)
 		}
 	}
 }
 
-func (m *model) answer(s *modelServer) ServerReport {
+func (m *model) report(s *modelServer) ServerReport {
 	a := s.admission(m.now)
 	return ServerReport{
 		VM: s.VM, Instance: s.Instance, Version: s.Version, InFlight: s.inFlight(m.now), Held: !a.Open, Counts: s.tally.Load(),
@@ -171,7 +171,7 @@
 
 func (s *modelServer) inFlight(now time.Time) int {
 	n := 0
-	for _, end := range s.busy {
+	for _, end := range s.callEnds {
 		if end.After(now) {
 			n++
 		}
@@ -180,12 +180,12 @@
 }
 
 func (s *modelServer) admission(now time.Time) Admission {
-	a := s.guard.Admit(now, s.Version, OtherVersions{Present: true, Ready: true})
-	if s.Version == oldVersion && s.guard.Record().Order == 0 {
-		a = Admission{Open: true} // it was there before the others
+	a := s.controller.Admit(now, s.Version, OtherVersions{Present: true, Ready: true})
+	if s.Version == oldVersion && s.controller.Record().Order == 0 {
+		a = Admission{Open: true} // it served before the other version came
 	}
-	if a != s.leftFrom {
-		s.leftFrom, s.left = a, a.Limit
+	if a != s.admitted {
+		s.admitted, s.callsLeft = a, a.Limit
 	}
 	return a
 }
@@ -196,25 +196,25 @@
 	for range 50 {
 		s := m.servers[m.rng.IntN(len(m.servers))]
 		a := s.admission(now)
-		if !a.Open || a.Limited && s.left <= 0 {
+		if !a.Open || a.Limited && s.callsLeft <= 0 {
 			continue
 		}
-		s.left--
-		m.run(now, s)
+		s.callsLeft--
+		m.execute(now, s)
 		return
 	}
 }
 
-func (m *model) run(now time.Time, s *modelServer) {
+func (m *model) execute(now time.Time, s *modelServer) {
 	took := time.Duration(200 * math.Exp(0.8*m.rng.NormFloat64()-0.32) / s.speed * float64(time.Millisecond))
 	failed := m.rng.Float64() < m.failing
-	defer func() { s.busy = append(s.busy[max(0, len(s.busy)-64):], now.Add(min(took, longestCall))) }()
+	defer func() { s.callEnds = append(s.callEnds[max(0, len(s.callEnds)-64):], now.Add(min(took, longestCall))) }()
 	if s.Version == newVersion {
 		m.exposed++
-		if !m.fiftieth.IsZero() && now.Sub(m.fiftieth) > rollbackBound {
-			m.late++
+		if !m.fiftiethBadAt.IsZero() && now.Sub(m.fiftiethBadAt) > rollbackBound {
+			m.lateCalls++
 		}
-		if f := m.bad; f != nil && now.Sub(m.begin) >= f.after && m.load() >= f.underLoad {
+		if f := m.bad; f != nil && now.Sub(m.startedAt) >= f.after && m.targetShare() >= f.underLoad {
 			wrong := m.rng.Float64() < f.failed
 			failed = failed || wrong
 			if m.rng.Float64() < f.slowed {
@@ -223,19 +223,20 @@
 			if wrong {
 				m.badAnswers++
 			}
-			if m.badAnswers == 50 && m.fiftieth.IsZero() {
-				m.fiftieth = now
+			if m.badAnswers == 50 && m.fiftiethBadAt.IsZero() {
+				m.fiftiethBadAt = now
 			}
 		}
 	}
 	s.tally.Add(modelClass, min(took, longestCall), true, failed)
 }
 
-// load is the part of the servers that take calls which are of the new version.
-func (m *model) load() float64 {
+// targetShare returns the servers of the new version as a fraction of all servers that take any
+// number of calls.
+func (m *model) targetShare() float64 {
 	var all, target float64
 	for _, s := range m.servers {
-		if a := s.leftFrom; a.Open && !a.Limited {
+		if a := s.admitted; a.Open && !a.Limited {
 			all++
 			if s.Version == newVersion {
 				target++
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -10,26 +10,26 @@
 	"github.com/marlpass/marlpass/internal/platform"
 )
 
-// Order is what an operator asks for.
+// Order is an operator's order for a rollout.
 type Order struct {
 	Service string
-	// Target is the version that the service's calls are to move to.
+	// Target is the version that the service's calls move to.
 	Target string
-	// TimeLimit is how long the rollout may take from the order on.
+	// TimeLimit is the maximum duration of the rollout, counted from the order.
 	TimeLimit time.Duration
-	// Revision is that of the order's row: a later order of the same service has a
-	// higher one.
+	// Revision is the revision of the order's row. A later order for the same service has a higher
+	// one.
 	Revision uint64
 }
 
-// Errors of an order.
+// Errors of Order.Check.
 var (
 	ErrNoService = errors.New("rollout: the order names no service")
 	ErrNoTarget  = errors.New("rollout: the order names no version")
-	ErrTooShort  = errors.New("rollout: the order leaves no time")
+	ErrTooShort  = errors.New("rollout: the order's duration is not positive")
 )
 
-// Check returns why an order can't be carried out, or nil.
+// Check returns an error if the order can't be carried out.
 func (o Order) Check() error {
 	switch {
 	case o.Service == "":
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// Phase is how far a rollout has come.
+// Phase is the phase of a rollout.
 type Phase string
 
 // Phases of a rollout.
@@ -56,39 +56,37 @@
 // Final reports whether no other phase follows.
 func (p Phase) Final() bool { return p == Completed || p == RolledBack }
 
-// maxCondemned bounds the versions that a record names as rolled back.
-const maxCondemned = 8
+// maxRejected bounds the versions that a record lists as rolled back.
+const maxRejected = 8
 
-// Record is what lasts of the rollouts of a service. It is a row of the platform's
-// table, written under the lease.
+// Record is the stored state of a service's rollouts. It is a row of the platform's table, written
+// under the lease.
 type Record struct {
 	Order  uint64 `json:"order"`
 	Target string `json:"target"`
 	Phase  Phase  `json:"phase"`
 	Reason string `json:"reason,omitempty"`
-	// Started is when the first conductor heard of the order, in Unix milliseconds.
+	// Started is when the first coordinator received the order, in Unix milliseconds.
 	Started int64 `json:"started_ms"`
-	// Replaced names the versions that the target takes the place of, once the
-	// baseline drains.
+	// Replaced lists the versions that the target replaces, once the baseline drains.
 	Replaced []string `json:"replaced,omitempty"`
-	// Rejected names the versions that were rolled back and not ordered since, the
-	// latest last.
+	// Rejected lists the versions that were rolled back and not ordered since, the latest last.
 	Rejected []string `json:"condemned,omitempty"`
 }
 
-// RecordKey returns the key of the record of a service.
+// RecordKey returns the key of a service's record.
 func RecordKey(service string) string { return platform.RolloutPrefix + service }
 
-// Encode returns the value of the row.
+// Encode returns the value of the record's row.
 func (r Record) Encode() []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // texts and numbers always encode
+		panic(err) // strings and numbers always encode
 	}
 	return data
 }
 
-// DecodeRecord reads the value of a row.
+// DecodeRecord decodes the value of a row.
 func DecodeRecord(value []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(value, &r); err != nil {
@@ -97,26 +95,26 @@
 	return r, nil
 }
 
-// begin returns the record of a new order, after the one before.
-func (r Record) begin(o Order, now time.Time) Record {
-	condemned := make([]string, 0, maxCondemned)
+// nextOrder returns the record of a new order that follows r.
+func (r Record) nextOrder(o Order, now time.Time) Record {
+	rejected := make([]string, 0, maxRejected)
 	for _, v := range r.Rejected {
 		if v != o.Target {
-			condemned = append(condemned, v)
+			rejected = append(rejected, v)
 		}
 	}
 	if r.Target != "" && r.Target != o.Target && r.Phase != Completed {
-		condemned = append(condemned, r.Target)
+		rejected = append(rejected, r.Target)
 	}
-	condemned = condemned[max(0, len(condemned)-maxCondemned):]
-	return Record{Order: o.Revision, Target: o.Target, Phase: Running, Started: now.UnixMilli(), Rejected: condemned}
+	rejected = rejected[max(0, len(rejected)-maxRejected):]
+	return Record{Order: o.Revision, Target: o.Target, Phase: Running, Started: now.UnixMilli(), Rejected: rejected}
 }
 
-// Orders reads operators' orders and writes what they read of them.
+// Orders reads operators' orders and writes their status.
 type Orders interface {
 	// Order returns the newest order for a service, and false if there is none.
 	Order(ctx context.Context, service string) (Order, bool, error)
-	// Status returns the write by which operators learn of a record. It goes into
-	// the transaction that writes the record.
+	// Status returns the write that reports a record to operators. It is part of the transaction
+	// that writes the record.
 	Status(service string, r Record) platform.Write
 }
