--- a/internal/follow/state.go
+++ b/internal/follow/state.go
@@ -319,8 +319,8 @@
 
 // peerRank orders the peers that a node pulls from after its start.
 type peerRank struct {
-	linkMbps uint32 // Mbit/s
-	sameDC   bool   // in the data centre of this node
+	linkMbps uint32
+	sameDC   bool // in the data centre of this node
 }
 
 func (r peerRank) better(o peerRank) bool {
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -13,7 +13,7 @@
 	modelClass = "lookup"
 )
 
-// fault is a fault of a version.
+// fault describes how a version is faulty.
 type fault struct {
 	name string
 	// failed and slowed are the fractions of answers that fail, or take slowBy times as long.
