--- a/internal/proxy/destination_run.go
+++ b/internal/proxy/destination_run.go
@@ -8,24 +8,22 @@
 	"github.com/marlpass/marlpass/internal/limit"
 )
 
-// forward sends the call to the backend server. It drops Expect, which was
-// between nodes: not every backend server answers it, and each that does not
-// would cost a second.
+// forward sends the call to the backend server. It removes the Expect header, which applies between
+// nodes only: backend servers that do not support it would each cost a second.
 //
-// A keyed call runs to its end, within its deadline, when its caller leaves:
-// that caller has most likely lost its connection and will send the call again,
-// and stopping the backend server half way would leave it nothing to be told
-// but "unknown".
-func (d *Destination) forward(ctx context.Context, in *inbound, h *holding) answer {
+// A keyed call runs to its end, within its deadline, even if its caller leaves. That caller has
+// most likely lost its connection and will retry. If the backend server were interrupted, the retry
+// could only get an unknown outcome.
+func (d *Destination) forward(ctx context.Context, in *inbound, h *execution) answer {
 	now := d.Now()
-	left := in.deadline.Sub(now)
-	if left <= 0 {
+	remaining := in.deadline.Sub(now)
+	if remaining <= 0 {
 		return answer{refusal: refuse(call.ReasonExpired, 0, "")}
 	}
 	if h.claim != nil && h.claim.Started(ctx) != nil {
 		return answer{refusal: refuse(call.ReasonExpired, 0, "the claim lapsed before the call was run")}
 	}
-	if refusal := d.began(now, h); refusal != nil {
+	if refusal := d.rolloutBegin(now, h); refusal != nil {
 		return answer{refusal: refusal}
 	}
 	h.start = now
@@ -34,26 +32,26 @@
 		ctx = context.WithoutCancel(ctx)
 	}
 	a := d.Upstreams.send(ctx, now, &outbound{
-		in: in.r, header: in.header, body: in.body, addr: h.backend.Addr, wait: left, stall: stallOf(h.target),
-		extra: d.Dialect.Attempt(left, h.backend.Instance),
+		in: in.r, header: in.header, body: in.body, addr: h.backend.Addr, answerTimeout: remaining, stallTimeout: stallTimeoutOf(h.target),
+		extra: d.Dialect.AttemptHeaders(remaining, h.backend.Instance),
 	})
 	if a.resp == nil {
 		return a
 	}
-	read := d.Dialect.Read(in.header, a.resp)
+	read := d.Dialect.ReadResponse(in.header, a.resp)
 	switch {
 	case read.Refusal != nil:
-		// The rest is short, and read for the connection to be used again.
+		// Reads the short rest, so that the connection can be reused.
 		discard(a.resp)
 		return answer{refusal: read.Refusal, load: read.Load}
 	case read.Err != nil:
-		a.kill()
+		a.abort()
 		return answer{err: read.Err}
 	}
 	a.load = read.Load
 	dropHopByHop(a.resp.Header)
-	dropOwn(a.resp.Header)
-	h.status, h.answered = a.resp.StatusCode, d.Now()
+	dropInternal(a.resp.Header)
+	h.status, h.answeredAt = a.resp.StatusCode, d.Now()
 	if h.stored != nil {
 		h.stored.Status = a.resp.StatusCode
 		h.stored.Header = a.resp.Header.Clone()
@@ -62,9 +60,8 @@
 	return d.spool(a, h)
 }
 
-// spool reads the answer whole, where that is asked for, and frees the backend
-// server's slot.
-func (d *Destination) spool(a answer, h *holding) answer {
+// spool buffers the whole answer if possible, and then releases the backend server's slot.
+func (d *Destination) spool(a answer, h *execution) answer {
 	tried, err := d.Spool.read(a.resp)
 	if !tried {
 		return a
@@ -74,6 +71,6 @@
 	}
 	now := d.Now()
 	failed := h.status >= http.StatusInternalServerError
-	h.release(now, limit.Result{Latency: now.Sub(h.start), Failed: failed})
+	h.releaseSlot(now, limit.Result{Latency: now.Sub(h.start), Failed: failed})
 	return a
 }
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -12,15 +12,15 @@
 	"github.com/marlpass/marlpass/internal/retry"
 )
 
-// EntryParts are what an Entry is made of. Admitter and Suspects may be nil.
-type EntryParts struct {
-	Self     string // this node's VM
-	Programs Programs
-	Starting Starting // nil where the node is ready
-	Admitter Admitter
-	Pickers  Pickers
-	Retrier  Retrier
-	Suspects Suspects
+// EntryOptions are what an Entry is made of. Admitter and Suspects may be nil.
+type EntryOptions struct {
+	Self      string // this node's VM
+	Programs  Programs
+	Readiness Readiness // nil where the node is ready
+	Admitter  Admitter
+	Pickers   Pickers
+	Retrier   Retrier
+	Suspects  Suspects
 	// Workspaces bounds the calls of workspaces; nil bounds none.
 	Workspaces Workspaces
 	Local      *Destination // of this VM; nil sends every call over a socket
@@ -30,23 +30,23 @@
 	Dialect    Dialect // marlpass's own when nil
 	// Decisions takes a line for each decision that needs one; nil writes none.
 	Decisions *decisions.Log
-	// WaitOut gives every attempt all of the call's time, where an endpoint that
+	// NoAttemptTimeout gives every attempt all of the call's time, where an endpoint that
 	// is at work must not be given up. Connections that went silent are then
 	// found by the kernel's probes alone.
-	WaitOut bool
-	Now     func() time.Time // time.Now when nil
+	NoAttemptTimeout bool
+	Now              func() time.Time // time.Now when nil
 }
 
 // Entry takes calls from callers and sends them to destination nodes.
 type Entry struct {
-	EntryParts
-	kept    keptBodies
-	returns returns
-	free    freeShares
+	EntryOptions
+	kept      bodyBudget
+	returning returningCallers
+	freeSlots freeSlotShares
 }
 
 // NewEntry returns an Entry.
-func NewEntry(p EntryParts) *Entry {
+func NewEntry(p EntryOptions) *Entry {
 	if p.Now == nil {
 		p.Now = time.Now
 	}
@@ -56,7 +56,7 @@
 	if p.Dialect == nil {
 		p.Dialect = ownDialect{}
 	}
-	return &Entry{EntryParts: p}
+	return &Entry{EntryOptions: p}
 }
 
 // Public returns the handler for callers outside the mesh.
@@ -70,7 +70,7 @@
 }
 
 // entering is one call at its entry node.
-type entering struct {
+type entryCall struct {
 	r      *http.Request
 	target *config.Target
 	class  *ClassMeter
@@ -78,43 +78,43 @@
 	id     string // what the logs call it
 	start  time.Time
 	// asked is when the caller first asked, if it was refused here and came back.
-	asked    time.Time
-	deadline time.Time
-	version  uint64 // of the configuration that matched it
-	maxBody  int64  // bytes; zero for no bound
-	tried    []string
-	search   search // for a free slot
+	firstAttempt time.Time
+	deadline     time.Time
+	version      uint64 // of the configuration that matched it
+	maxBody      int64  // bytes; zero for no bound
+	tried        []string
+	search       slotSearch // for a free slot
 	// closed are the endpoints tried that take no calls.
-	closed []string
+	unavailable []string
 	// pinned are the endpoints that refused a suspect as pinned to another.
-	pinned   []string
-	n        int // attempts made
-	reached  int // attempts that a backend server got, or may have
-	fp       quarantine.Fingerprint
-	isolated bool // to be run at one place at a time
-	below    bool // the call is part of one that is being retried
+	pinned        []string
+	attempts      int // attempts made
+	reached       int // attempts that a backend server got, or may have
+	fp            quarantine.Fingerprint
+	isolated      bool // to be run at one place at a time
+	parentRetried bool // the call is part of one that is being retried
 	// lost is why an attempt that may have run gave no answer, or nil.
-	lost error
+	unknownErr error
 	// workspace is the one whose quota the call counts against, or nil.
 	workspace *config.Workspace
 }
 
-var enterings = sync.Pool{New: func() any { return new(entering) }}
+var entryCalls = sync.Pool{New: func() any { return new(entryCall) }}
 
 // free gives c back for another call.
-func (c *entering) free() {
-	*c = entering{tried: c.tried[:0], search: search{looked: c.search.looked[:0]}, closed: c.closed[:0], pinned: c.pinned[:0]}
-	enterings.Put(c)
+func (c *entryCall) free() {
+	*c = entryCall{tried: c.tried[:0], search: slotSearch{rejected: c.search.rejected[:0]}, unavailable: c.unavailable[:0], pinned: c.pinned[:0]}
+	entryCalls.Put(c)
 }
 
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request, internal bool) {
-	c := enterings.Get().(*entering)
+	c := entryCalls.Get().(*entryCall)
 	defer c.free()
 	c.r, c.start = r, e.Now()
-	c.asked = c.start
-	c.id = e.Dialect.ID(r.Header)
-	if e.Starting != nil {
-		e.Starting.Await(r.Context())
+	c.firstAttempt = c.start
+	c.id = e.Dialect.CallID(r.Header)
+	if e.Readiness != nil {
+		e.Readiness.Await(r.Context())
 	}
 	if refusal := e.match(c, internal); refusal != nil {
 		if refusal.Reason == call.ReasonTooLarge {
@@ -125,29 +125,29 @@
 		return
 	}
 	var err error
-	if c.body, err = takeBody(w, r, &e.kept, c.deadline, c.maxBody); err != nil {
-		e.refuse(w, c, refuseBody(err))
+	if c.body, err = prepareBody(w, r, &e.kept, c.deadline, c.maxBody); err != nil {
+		e.refuse(w, c, refuseIncompleteBody(err))
 		return
 	}
 	defer c.body.release()
-	c.below = first(r.Header, retry.HeaderRetried) != ""
+	c.parentRetried = first(r.Header, retry.HeaderRetried) != ""
 	dropHopByHop(r.Header)
-	dropOwn(r.Header)
+	dropInternal(r.Header)
 	addForwarded(r.Header, r.RemoteAddr)
 	setExpect(c)
 	ctx, span := e.Tracer.startRemote(r, "entry", c.target.Name)
 	defer span.end()
-	if refusal := e.suspect(c); refusal != nil {
+	if refusal := e.checkSuspect(c); refusal != nil {
 		e.refuse(w, c, refusal)
 		return
 	}
-	c.asked = e.returns.since(c.start, c.fp)
+	c.firstAttempt = e.returning.firstAttempt(c.start, c.fp)
 	e.Retrier.Called(c.target.Service)
 	e.run(ctx, w, c, span)
 }
 
 // suspect finds out whether the request is one that crashes backend servers.
-func (e *Entry) suspect(c *entering) *call.Refusal {
+func (e *Entry) checkSuspect(c *entryCall) *call.Refusal {
 	c.fp = fingerprintOf(c.r, c.r.Header, &c.body)
 	if e.Suspects == nil {
 		return nil
@@ -161,13 +161,13 @@
 
 // fingerprintOf recognises a request when it is sent again.
 func fingerprintOf(r *http.Request, h http.Header, b *body) quarantine.Fingerprint {
-	return quarantine.NewFingerprint(r.Method, r.Host, r.URL.Path, r.URL.RawQuery, h, b.length, b.kept)
+	return quarantine.NewFingerprint(r.Method, r.Host, r.URL.Path, r.URL.RawQuery, h, b.length, b.buffered)
 }
 
 // setExpect asks the destination node to say when it wants the body, if the
 // body streams: a refusal then comes before any of it was read, and the call can
 // go to another endpoint. A body that was read already needs no such word.
-func setExpect(c *entering) {
+func setExpect(c *entryCall) {
 	delete(c.r.Header, "Expect")
 	if c.body.streams() {
 		c.r.Header["Expect"] = expectValue
@@ -177,7 +177,7 @@
 var expectValue = []string{"100-continue"}
 
 // match finds the call's class and deadline, and refuses what may not enter.
-func (e *Entry) match(c *entering, internal bool) *call.Refusal {
+func (e *Entry) match(c *entryCall, internal bool) *call.Refusal {
 	if wantsUpgrade(c.r) {
 		return refuse(call.ReasonBadRequest, 0, "upgrades are not carried")
 	}
@@ -201,7 +201,7 @@
 			return refusal
 		}
 	}
-	left, ok := e.Dialect.Arrive(c.r.Header, t)
+	left, ok := e.Dialect.AcceptCall(c.r.Header, t)
 	if !ok {
 		return refuse(call.ReasonBadRequest, 0, "the deadline is not a number of milliseconds")
 	}
@@ -222,7 +222,7 @@
 // unmatched refuses a call that belongs to no class. A node that has just
 // started holds no classes yet: its callers must come back, and not be told
 // that there is no such route.
-func (e *Entry) unmatched(c *entering) *call.Refusal {
+func (e *Entry) unmatched(c *entryCall) *call.Refusal {
 	if e.Admitter != nil {
 		if r := e.Admitter.Admit(c.start, nil); r != nil {
 			return r
