--- a/internal/node/callpath.go
+++ b/internal/node/callpath.go
@@ -15,10 +15,10 @@
 	"github.com/marlpass/marlpass/internal/telemetry"
 )
 
-// flushInterval is the time between two looks for outcomes that the platform lacks.
+// flushInterval is the time between two attempts to store outcomes that the platform lacks.
 const flushInterval = 2 * time.Second
 
-// callPath holds what a call goes through at this node.
+// callPath holds the components that handle a call at this node.
 type callPath struct {
 	n               *Node
 	pickers         *pickers
@@ -95,11 +95,11 @@
 	return proxy.NewUpstreams(proxy.SlowProbing)
 }
 
-// spoolMemoryDivisor is the part of the process's memory that answers on their way may
-// take. The rest of a node of 1,200 needs about 30 MB, of the smallest VMs' 112.
+// spoolMemoryDivisor bounds buffered answers to one eighth of the process's memory. In a mesh
+// of 1,200 nodes the rest of a node needs about 30 MB of the 112 MB of the smallest VMs.
 const spoolMemoryDivisor = 8
 
-// spool returns what takes answers in, where the memory is known.
+// spool returns the buffer for answers, or nil if the VM's memory is not configured.
 func (n *Node) spool() *proxy.Spool {
 	if n.set.VM.MemoryMB == 0 {
 		return nil
@@ -112,8 +112,8 @@
 		Float64("failing", failing).Msg("route: an endpoint is ejected for its failures, or back")
 }
 
-// runBackground tells what this node holds of suspects, and stores outcomes that the
-// platform lacks, until ctx ends.
+// runBackground publishes this node's suspect requests, stores outcomes that the platform
+// lacks and logs summaries of decisions, until ctx ends.
 func (c *callPath) runBackground(ctx context.Context) {
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
@@ -135,13 +135,14 @@
 	}
 }
 
-// drain refuses new calls from now on.
+// drain starts to refuse new calls.
 func (c *callPath) drain() {
 	c.draining.Store(true)
 	c.dest.Drain()
 }
 
-// shutdown returns when all that follows a call is done.
+// shutdown waits for the work that follows calls, stores the remaining outcomes, and closes
+// the connections and the tracer.
 func (c *callPath) shutdown() {
 	c.dest.Wait()
 	c.suspects.checksRunning.Wait()
@@ -155,9 +156,9 @@
 	_ = c.shutdownTracing(ctx)
 }
 
-// nodeAdmitter refuses calls while the node may not carry traffic: a node that has
-// just started may hold an older version than it held before, and one that
-// drains takes no new calls.
+// nodeAdmitter refuses calls while the node may not carry traffic: a node that has just
+// started may hold an older version than before its restart, and a draining node takes no new
+// calls.
 type nodeAdmitter struct{ c *callPath }
 
 var errDraining = &call.Refusal{Reason: call.ReasonDraining, RetryAfter: time.Second}
--- a/internal/node/conduct.go
+++ b/internal/node/conduct.go
@@ -18,22 +18,24 @@
 )
 
 const (
-	rolloutLeaseLength   = 3 * time.Second // of the node that conducts a rollout
+	rolloutLeaseLength   = 3 * time.Second // held by the node that conducts a rollout
 	rolloutRenewInterval = time.Second
-	// rolloutContendInterval is the time between two looks at a lease that another holds, and
-	// rolloutFirst the longest before the first: all feeders hear of an order at once.
+	// rolloutContendInterval bounds the time between two attempts to acquire a lease that another
+	// node holds, and rolloutFirstDelay the time before the first: all feeders receive an order
+	// at the same time.
 	rolloutContendInterval = 1500 * time.Millisecond
 	rolloutFirstDelay      = 400 * time.Millisecond
-	// instructTimeout bounds an exchange with a node, and tellWidth those at once.
+	// instructTimeout bounds a request to a node, and instructConcurrency the number of
+	// concurrent requests.
 	instructTimeout     = 400 * time.Millisecond
 	instructConcurrency = 16
-	// verdictRetryTime is for how long nodes that haven't answered are told of a verdict. Later
-	// they learn it from the table.
+	// verdictRetryTime is how long a verdict is resent to nodes that have not answered. After
+	// that they read it from the table.
 	verdictRetryTime = 8 * time.Second
 )
 
-// rolloutConductors carries out the rollouts that operators order, at the nodes that read their
-// orders. For each rollout one of them holds the lease.
+// rolloutConductors conducts the rollouts that operators order. It runs at the nodes that read the
+// orders; for each rollout one of them holds a lease.
 type rolloutConductors struct {
 	n   *Node
 	log zerolog.Logger
@@ -44,7 +46,8 @@
 	return &rolloutConductors{n: n, log: telemetry.Part(n.log, "rollout"), set: rollout.Defaults()}
 }
 
-// run starts a conductor for each order that comes in, until ctx ends.
+// run starts a conductor for each order received, until ctx ends. A newer order for a service
+// stops the conductor of the previous one.
 func (c *rolloutConductors) run(ctx context.Context) {
 	if c.n.o.Orders == nil {
 		<-ctx.Done()
@@ -74,10 +77,11 @@
 	}
 }
 
-// contend contends for the lease on a rollout until it is over.
+// contend tries to acquire the lease on a rollout, and conducts it while it holds the lease,
+// until the rollout is over.
 func (c *rolloutConductors) contend(ctx context.Context, o rollout.Order, receivedAt time.Time) {
 	if err := o.Check(); err != nil {
-		c.log.Error().Str("service", o.Service).Err(err).Msg("rollout: refuse an order")
+		c.log.Error().Str("service", o.Service).Err(err).Msg("rollout: invalid order")
 		return
 	}
 	contender := lease.New(c.n.control.table, lease.Options{
@@ -95,7 +99,7 @@
 			continue
 		}
 		if err != nil {
-			c.log.Warn().Str("service", o.Service).Err(err).Msg("rollout: the lease can't be taken")
+			c.log.Warn().Str("service", o.Service).Err(err).Msg("rollout: the lease can't be acquired")
 			continue
 		}
 		r := &leasedRollout{rolloutConductors: c, order: o, lease: held, receivedAt: receivedAt}
@@ -111,11 +115,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), instructTimeout)
 	defer cancel()
 	if err := l.Release(ctx); err != nil {
-		c.log.Info().Err(err).Msg("rollout: the lease was not given back, it runs out")
+		c.log.Info().Err(err).Msg("rollout: the lease was not released, it will expire")
 	}
 }
 
-// leasedRollout is a rollout under this node's lease.
+// leasedRollout is a rollout that this node conducts under its lease.
 type leasedRollout struct {
 	*rolloutConductors
 	order      rollout.Order
@@ -127,7 +131,7 @@
 	renewedAt  time.Time
 }
 
-// conduct decides until the rollout is over, or the lease is lost. It reports whether it is
+// conduct runs the rollout until it is over or the lease is lost, and reports whether it is
 // over.
 func (r *leasedRollout) conduct(ctx context.Context) bool {
 	if !r.resume(ctx) {
@@ -152,7 +156,8 @@
 	}
 }
 
-// resume goes on from what lasts of the rollout.
+// resume continues from the stored record of the rollout. It reports whether the record could be
+// read, and written where the order is new.
 func (r *leasedRollout) resume(ctx context.Context) bool {
 	record, revision, err := loadRecord(ctx, r.n.control.table, r.order.Service)
 	if err != nil {
@@ -170,8 +175,8 @@
 	return r.write(ctx, r.conductor.Record())
 }
 
-// elapsed returns the time since the order. Where an earlier conductor has noted when it
-// heard of it, that counts, as long as the clocks of the two can be right.
+// elapsed returns the time since the order. The start time that an earlier conductor recorded
+// takes precedence, unless it is inconsistent with this node's clock.
 func (r *leasedRollout) elapsed(now time.Time, record rollout.Record) time.Duration {
 	own := now.Sub(r.receivedAt)
 	if record.Order != r.order.Revision {
@@ -198,10 +203,11 @@
 	return r.lease.Valid()
 }
 
-// write makes a record lasting, with what operators read of it, and reports whether it is.
+// write stores a record together with the status that operators read, and reports whether it
+// is stored.
 //
-// It holds only while the lease does and the row is the one that this node knows: a write
-// whose answer was lost may still be carried out, and must not undo what followed.
+// The write is conditional on the lease and on the row's known revision: a write whose answer
+// was lost may still take effect, and must not overwrite later ones.
 func (r *leasedRollout) write(ctx context.Context, record rollout.Record) bool {
 	ctx, cancel := context.WithTimeout(ctx, rolloutReadTimeout)
 	defer cancel()
@@ -230,7 +236,8 @@
 
 var errNotWritten = errors.New("node: the record of the rollout was not written")
 
-// readBack takes the revision of the row that was written.
+// readBack reads the revision of the written row. It returns errNotWritten if the row holds
+// another order or phase.
 func (r *leasedRollout) readBack(ctx context.Context, record rollout.Record) error {
 	found, revision, err := loadRecord(ctx, r.n.control.table, r.order.Service)
 	switch {
@@ -243,7 +250,7 @@
 	return nil
 }
 
-// servers returns the servers of the service as this node sees them.
+// servers returns the servers of the service in this node's view.
 func (r *leasedRollout) servers() []rollout.Server {
 	var out []rollout.Server
 	for id, record := range r.n.views.Load().Records {
@@ -261,7 +268,7 @@
 	return out
 }
 
-// sendMessages sends messages and takes in the answers.
+// sendMessages sends messages to their nodes and passes the answers to the conductor.
 func (r *leasedRollout) sendMessages(ctx context.Context, messages []rollout.Message) {
 	view := r.n.views.Load()
 	var wg sync.WaitGroup
@@ -288,7 +295,7 @@
 	wg.Wait()
 }
 
-// instruct tells the node of a VM, which may be this one.
+// instruct sends an instruction to the node of a VM, which may be this node.
 func (r *leasedRollout) instruct(ctx context.Context, to *membership.ObservedRecord, m rollout.Message) ([]rollout.Answer, error) {
 	q := encodeInstruction(m.Instruction)
 	if m.VM == r.n.self.ID {
--- a/internal/node/control_cpu.go
+++ b/internal/node/control_cpu.go
@@ -10,26 +10,24 @@
 	"github.com/marlpass/marlpass/internal/drain"
 )
 
-// cpuSampleInterval is the length of the intervals that quiet looks at.
+// cpuSampleInterval is the length of the measured intervals.
 const cpuSampleInterval = 100 * time.Millisecond
 
-// controlCPUMeter measures the processor time of control.
+// controlCPUMeter measures the processor time of the control plane.
 //
-// Nothing in Go tells the processor time of some goroutines apart from that of
-// others, and control shares its goroutines' threads, the collector and the
-// network poller with calls. So quiet adds up the processor time of the whole
-// process over those intervals in which the node had no call in its hands, from
-// beginning to end. That is control's time, the runtime's own included, and no
-// estimate; on a node that is never without calls it stands still, and its
-// companion, the time observed, shows that it does.
+// Go has no processor time per goroutine, and control shares threads, the garbage collector and
+// the network poller with calls. So the meter adds up the processor time of the whole process
+// over the intervals in which no call was in flight from beginning to end. The sum is measured,
+// not estimated, and includes the runtime. On a node that always has calls in flight it stands
+// still, and so does the observed time.
 type controlCPUMeter struct {
 	calls *drain.Calls
 
-	mu            sync.Mutex // guards what follows; no call takes it
+	mu            sync.Mutex // guards the fields below; not locked by calls
 	cpu, observed time.Duration
 }
 
-// run looks at one interval after the other until ctx ends.
+// run measures one interval after the other until ctx ends.
 func (q *controlCPUMeter) run(ctx context.Context) {
 	ticker := time.NewTicker(cpuSampleInterval)
 	defer ticker.Stop()
@@ -46,17 +44,17 @@
 	}
 }
 
-// cpuSample is what was seen at one moment.
+// cpuSample is the state of the process at one moment.
 type cpuSample struct {
 	at      time.Time
 	cpu     time.Duration
-	started uint64 // calls, since the start of the node
-	idle    bool   // no call is in the node's hands
+	started uint64 // calls since the start of the node
+	idle    bool   // no call is in flight
 }
 
 func (q *controlCPUMeter) sample(now time.Time) cpuSample {
-	// Read in this order: a call that starts in between shows in started at
-	// the next look at the latest.
+	// Read started first: a call that starts between the two reads is counted in started at
+	// the next sample at the latest.
 	started := q.calls.Started()
 	return cpuSample{at: now, started: started, idle: q.calls.InFlight() == 0, cpu: processTime()}
 }
@@ -71,15 +69,14 @@
 	q.observed += to.at.Sub(from.at)
 }
 
-// totals returns the processor time and the time observed, in seconds.
+// totals returns the processor time and the observed time, in seconds.
 func (q *controlCPUMeter) totals() (cpu, observed float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.cpu.Seconds(), q.observed.Seconds()
 }
 
-// processTime returns the processor time of the process, or zero if the system
-// does not tell.
+// processTime returns the processor time of the process, or zero if getrusage fails.
 func processTime() time.Duration {
 	var u unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &u) != nil {
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -5,7 +5,8 @@
 	"sync/atomic"
 )
 
-// counterSet counts events by name without a lock. Names must be few.
+// counterSet counts events by name without a lock. It never drops a name, so the set of names
+// must be small.
 type counterSet struct{ byName sync.Map }
 
 func (t *counterSet) increment(name string) {
--- a/internal/node/dedup.go
+++ b/internal/node/dedup.go
@@ -7,7 +7,7 @@
 	"github.com/marlpass/marlpass/internal/proxy"
 )
 
-// dedupAdapter gives once.Keeper the shape that the proxy asks for.
+// dedupAdapter adapts once.Keeper to proxy.Keeper.
 type dedupAdapter struct{ k *once.Keeper }
 
 // Begin implements proxy.Keeper.
@@ -34,8 +34,8 @@
 	return &proxy.Stored{Status: s.Status, Header: s.Header, Body: s.Body, TooLarge: s.Truncated}
 }
 
-// claimAdapter gives once.Claim the shape that the proxy asks for. Errors of Finish
-// and Abandon are settled later by Keeper.Flush.
+// claimAdapter adapts once.Claim to proxy.Claim. It ignores errors of Finish and Abandon, as
+// Keeper.Flush repeats the write.
 type claimAdapter struct{ c *once.Claim }
 
 func (c claimAdapter) Started(ctx context.Context) error { return c.c.Started(ctx) }
--- a/internal/node/dedup_test.go
+++ b/internal/node/dedup_test.go
@@ -12,10 +12,9 @@
 	"github.com/marlpass/marlpass/internal/proxy"
 )
 
-// A launch charge runs and its answer is lost. Before its caller sends it again,
-// an operator gives launches a class of their own. The resend belongs to that
-// class, whose row did not exist, and the charge ran a second time.
-func TestKeyOutlivesAChangeOfClasses(t *testing.T) {
+// Guards against a second run of a keyed call whose target changes between two sends. The row
+// of a claim must not depend on the target's name: the resend would find no row and run again.
+func TestIdempotencyKeySurvivesAChangeOfTarget(t *testing.T) {
 	k := dedupAdapter{once.New(once.Options{Table: memory.New(), Holder: "vm1"})}
 	send := func(class string) (proxy.Claim, error) {
 		c, _, err := k.Begin(context.Background(), proxy.KeyedCall{
@@ -30,6 +29,6 @@
 	}
 	c.Lost(context.Background())
 	if _, err := send("launches"); !errors.Is(err, proxy.ErrOutcomeUnknown) {
-		t.Errorf("the resend: %v, want that its outcome is unknown", err)
+		t.Errorf("the resend: got %v, want ErrOutcomeUnknown", err)
 	}
 }
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -6,13 +6,13 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// AcceptVersion hands a version to a node as if it had been accepted there.
+// AcceptVersion passes a version to a node as if the node had accepted it.
 func (n *Node) AcceptVersion(d *config.Delta) { n.control.spread.Accepted(d) }
 
 // Snapshot returns the snapshot in force.
 func (n *Node) Snapshot() *config.Snapshot { return n.snapshot() }
 
-// ObservedRefusal returns which version this node knows another to have refused.
+// ObservedRefusal returns the version that another node refused, as seen by this node.
 func (n *Node) ObservedRefusal(vm string) (version uint64, reason string) {
 	r := n.views.Load().Records[vm]
 	if r == nil {
@@ -21,22 +21,22 @@
 	return r.RefusedVersion, r.RefusedReason
 }
 
-// BreakListener closes the socket for callers under the node's feet.
+// BreakListener closes the node's socket for callers while it runs.
 func BreakListener(n *Node) { n.ln.callers.Close() }
 
-// GatesHaveClass reports whether every gate of the node knows the class.
+// GatesHaveClass reports whether every gate of the node is configured with the class.
 func (n *Node) GatesHaveClass(class string) bool {
 	for _, gate := range *n.calls.gates.byInstance.Load() {
-		known := false
+		found := false
 		for _, s := range gate.Stats(time.Now()) {
-			known = known || s.Class == class
+			found = found || s.Class == class
 		}
-		if !known {
+		if !found {
 			return false
 		}
 	}
 	return true
 }
 
-// OfferSnapshot puts a version in force as the spreading does.
+// OfferSnapshot puts a version in force the way a received one is.
 func (n *Node) OfferSnapshot(s *config.Snapshot) (bool, error) { return wakingStore{n}.Offer(s) }
--- a/internal/node/gates.go
+++ b/internal/node/gates.go
@@ -17,7 +17,7 @@
 type gates struct {
 	mu         sync.Mutex // serialises writers
 	byInstance atomic.Pointer[map[string]*limit.Gate]
-	// departed are the gates of backend servers that left while calls ran.
+	// departed holds the gates of backend servers that left while calls ran.
 	departed map[string]*limit.Gate
 }
 
@@ -27,13 +27,13 @@
 	return g
 }
 
-// update makes the gates fit the backend servers and the classes in force.
-// The gate of a backend server that is gone refuses those that wait. Holders
-// returns how many backend servers of a service the whole mesh has.
+// update configures one gate per backend server with the classes in force. The gate of a
+// backend server that has left refuses its waiting calls. backendCount returns the number of
+// ready backend servers of a service in the whole mesh.
 //
-// A gate is kept until its last call has ended. That guards a backend server too
-// busy to renew its lease in time: it announces itself anew while its calls
-// still run, and a new gate would send it as many again.
+// A gate is kept until its last call has ended. A backend server too busy to renew its lease in
+// time announces itself anew while its calls still run, and a new gate would admit as many
+// calls again.
 func (g *gates) update(now time.Time, list []announce.Backend, p *program, backendCount func(service string) int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -65,7 +65,7 @@
 	})
 }
 
-// perBackendRates gives each class one backend server's part of its rate.
+// perBackendRates returns the classes with the rate limit of a single backend server.
 func perBackendRates(classes []limit.Class, backends int) []limit.Class {
 	out := make([]limit.Class, len(classes))
 	for i, c := range classes {
@@ -75,7 +75,7 @@
 	return out
 }
 
-// slotUse returns how the slots of a backend server are used; zeros if it has gone.
+// slotUse returns the slot usage of a backend server, or zeros if it has left.
 func (g *gates) slotUse(b proxy.Backend) proxy.SlotUse {
 	gate := (*g.byInstance.Load())[b.Instance]
 	if gate == nil {
@@ -89,7 +89,7 @@
 func (g *gates) Acquire(ctx context.Context, b proxy.Backend, t *config.Target, opts limit.AcquireOptions) (proxy.Permit, error) {
 	gate := (*g.byInstance.Load())[b.Instance]
 	if gate == nil {
-		// The backend server went between the look-up and here.
+		// The backend server left after it was looked up.
 		return nil, errNotHeld
 	}
 	p, err := gate.Acquire(ctx, t.Name, opts)
--- a/internal/node/gates_test.go
+++ b/internal/node/gates_test.go
@@ -6,11 +6,10 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// An operator states a new class with a share of a fifth. Entry nodes send its
-// calls as soon as they run the version. For the next moments the destination's
-// gate did not know the class, and ran its calls without share or priority: the
-// gates followed the version only with the node's next refresh.
-func TestGatesKnowAClassWithItsVersion(t *testing.T) {
+// Guards against gates that are configured only at the refresh after a version comes into
+// force. Entry nodes send calls of a new class as soon as they run its version, and a gate
+// without the class ran them with no share or priority.
+func TestGatesAreConfiguredWithTheVersion(t *testing.T) {
 	w := startMesh(t, 1, nil)
 	w.hold(w.VMs[0])
 	n := w.VMs[0].Node()
@@ -24,7 +23,7 @@
 			t.Fatal("the version is not in force:", err)
 		}
 		if !n.GatesHaveClass(bulk.Name) {
-			t.Fatalf("version %d is in force, and a gate does not know %s", next.Version().Number, bulk.Name)
+			t.Fatalf("version %d is in force, and a gate lacks class %s", next.Version().Number, bulk.Name)
 		}
 	}
 }
--- a/internal/node/inflight_test.go
+++ b/internal/node/inflight_test.go
@@ -13,10 +13,9 @@
 	"github.com/marlpass/marlpass/internal/drain"
 )
 
-// A caller sent the header of a call that was refused, and no body. Its
-// connection was never done with, so that each planned stop of the node waited
-// until the drain limit, and the caller waited for its refusal as long.
-func TestRefusedCallWithSilentBodyEndsItsConnection(t *testing.T) {
+// Guards against a connection that stays open because a refused call's body never arrives. Each
+// planned stop of the node waited until the drain limit, and the caller as long for its refusal.
+func TestRefusedCallWithoutBodyClosesItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls drain.Calls
 		ln := servePipes(t, newServer(calls.Handler(refuseAll), zerolog.Nop()))
@@ -32,13 +31,13 @@
 		}
 		_, _ = io.Copy(io.Discard, conn)
 		if got := time.Since(start); got > 2*drain.UnreadBodyTimeout {
-			t.Errorf("kept for %s", got)
+			t.Errorf("connection open for %s", got)
 		}
 	})
 }
 
-// A caller whose call was refused early sent the rest of its body a moment
-// later, and used the connection again.
+// Guards against closing the connection of a refused call whose body arrives a moment later: the
+// caller reuses the connection.
 func TestRefusedCallKeepsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls drain.Calls
--- a/internal/node/lift_test.go
+++ b/internal/node/lift_test.go
@@ -8,10 +8,9 @@
 	"github.com/marlpass/marlpass/internal/gen/adminapi"
 )
 
-// A request crashes one backend server and then another, and the mesh refuses
-// it. The operator on shift finds it in the handover of another node, has the
-// backend servers mended and lifts it. Had only the node that was asked let it
-// go, callers elsewhere would be refused for half an hour more.
+// Guards against a lift that takes effect only at the node that received it. A request that
+// crashed two backend servers is quarantined in the whole mesh, and would be refused by the other
+// nodes for another half hour.
 func TestOperatorLiftsAQuarantine(t *testing.T) {
 	y := newYard(t)
 	y.state(t)
@@ -24,7 +23,7 @@
 		y.get(t, 1, "/berths/bad", backend.HeaderCrash, "1")
 		return y.quarantined(t, 1).State == adminapi.QuarantinedRequestStateQuarantined
 	})
-	y.eventually(t, "the request in quarantine at the node that the operator asks", func() bool {
+	y.eventually(t, "the request in quarantine at the node that the operator uses", func() bool {
 		return y.quarantined(t, 3).State == adminapi.QuarantinedRequestStateQuarantined
 	})
 	bad := y.quarantined(t, 3)
@@ -48,22 +47,20 @@
 			return q.State == adminapi.QuarantinedRequestStateLifted && q.By.Value == "kumari (harbour)"
 		})
 	}
-	// Without its header it crashes nothing and is the same request still.
+	// Without the crash header the request is the same but crashes nothing.
 	y.eventually(t, "an answer to the request", func() bool {
 		return y.get(t, 1, "/berths/bad") == http.StatusOK
 	})
 	none := adminapi.LiftQuarantineParams{Fingerprint: "00000000000000000000000000000000"}
 	if _, err := y.admin(t, 0).LiftQuarantine(y.ctx, none); status(err) != http.StatusNotFound {
-		t.Errorf("a request that is not held: %v", err)
+		t.Errorf("a request that is not in quarantine: %v", err)
 	}
 }
 
-// An operator lifts a quarantine, and an hour's worth of replaced VMs later the
-// node that was asked is one of them. The nodes beside the crashed backend
-// servers went on telling of the quarantine in their own records, since those
-// were made anew at the next crash only; only the lifter told of the lift. So a
-// node that started after its end held the request in quarantine again.
-func TestLiftOutlivesTheNodeThatWasAsked(t *testing.T) {
+// Guards against a quarantine that returns after the node that lifted it has left. The nodes of
+// the crashed backend servers updated the notices in their records only at the next crash, and
+// kept publishing the quarantine; a node that started later quarantined the request again.
+func TestLiftOutlivesTheNodeThatReceivedIt(t *testing.T) {
 	y := newYard(t)
 	y.state(t)
 	y.startBackend(t, 0, "a")
@@ -80,7 +77,7 @@
 		t.Fatal(err)
 	}
 	for _, vm := range []int{0, 2} {
-		y.eventually(t, "the lift beside the backend servers", func() bool {
+		y.eventually(t, "the lift at the nodes of the backend servers", func() bool {
 			return y.quarantined(t, vm).State == adminapi.QuarantinedRequestStateLifted
 		})
 	}
@@ -94,7 +91,7 @@
 	})
 }
 
-// quarantined returns the request that the VM's node holds, or a zero one.
+// quarantined returns the first request in the quarantine list of a VM's node, or a zero value.
 func (y *yard) quarantined(t *testing.T, vm int) adminapi.QuarantinedRequest {
 	t.Helper()
 	l, err := y.admin(t, vm).ListQuarantine(y.ctx)
--- a/internal/node/metrics_calls.go
+++ b/internal/node/metrics_calls.go
@@ -9,7 +9,7 @@
 	"github.com/marlpass/marlpass/internal/proxy"
 )
 
-// writeMetrics tells what became of calls at this node.
+// writeMetrics writes the metrics of calls at this node.
 func (c *callPath) writeMetrics(p page) {
 	now := time.Now()
 	for _, t := range c.meters.Totals() {
@@ -39,7 +39,7 @@
 	c.writeRegistry(p)
 }
 
-// writeClass tells what callers got, by the class of work.
+// writeClass writes the outcomes and durations of a class's calls.
 func writeClass(p page, t *proxy.ClassTotals) {
 	for reason, n := range t.Refused {
 		p.counter("marlpass_call_refused_total", n, "class", t.Class, "reason", string(reason))
@@ -64,7 +64,7 @@
 	p.counter(name+"_count", h.Count, l...)
 }
 
-// writeGates tells how the classes share the slots of the backend servers here.
+// writeGates writes the slot usage of each class at this node's backend servers.
 func (c *callPath) writeGates(p page, now time.Time) {
 	for instance, gate := range *c.gates.byInstance.Load() {
 		for _, s := range gate.Stats(now) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// writeOnce tells what became of calls with a key.
+// writeOnce writes the metrics of calls with an idempotency key.
 func (c *callPath) writeOnce(p page) {
 	s := c.dedup.Stats()
 	p.counter("marlpass_once_claims_total", s.Claims)
@@ -98,7 +98,8 @@
 	p.gauge("marlpass_once_guards_held", float64(s.GuardsHeld))
 }
 
-// writeRegistry tells which backend servers are beside this node.
+// writeRegistry writes the backend servers of this VM, and the endpoints of each service in the
+// mesh.
 func (c *callPath) writeRegistry(p page) {
 	for _, b := range c.n.registry.Load() {
 		l := []string{"service", b.Service, "instance", b.Instance}
--- a/internal/node/pickers.go
+++ b/internal/node/pickers.go
@@ -16,26 +16,25 @@
 	"github.com/marlpass/marlpass/internal/route"
 )
 
-// endpointSep joins VM and instance into the ID of an endpoint. Neither may
-// contain it.
+// endpointSep joins VM and instance into the ID of an endpoint. Neither may contain it.
 const endpointSep = "/"
 
-// pickers keeps one route.Picker for each service that some node holds, and
-// feeds them from the membership view.
+// pickers keeps one route.Picker for each service in the mesh and updates them from the
+// membership view.
 type pickers struct {
 	self        membership.VM
-	mu          sync.Mutex // serialises writers, and guards the next four
+	mu          sync.Mutex // serialises writers, and guards the next four fields
 	view        *membership.View
-	cache       map[string]cachedEndpoints  // of each record, by VM
+	cache       map[string]cachedEndpoints  // endpoints of each record, by VM
 	endpoints   map[string][]route.Endpoint // by service
-	entryNodes  int                         // entry nodes that the subsets go by
+	entryNodes  int                         // number of entry nodes that the subsets are sized for
 	byService   atomic.Pointer[map[string]*route.Picker]
-	empty       *route.Picker // of a service that no node holds
+	empty       *route.Picker // for services without endpoints
 	sizes       answerSizes
 	regionWide  bool // see route.Options
 	onEject     func(endpoint string, ejected bool, failing float64)
 	readyCounts atomic.Pointer[map[string]int]
-	roundRobin  *proxy.RoundRobin // fed as well if not nil; see Policies
+	roundRobin  *proxy.RoundRobin // updated as well if not nil; see Policies
 }
 
 func newPickers(self membership.VM, regionWide bool) *pickers {
@@ -48,11 +47,10 @@
 	return p
 }
 
-// update takes in a new view. Only the services that differ from the view before
-// are worked on: at 1,200 nodes some record changes many times a second while a
-// data centre returns, and nearly all services stay as they are. A service that
-// no node holds any more keeps its picker, with no endpoints: its observations
-// are wanted if it comes back.
+// update applies a new view. It rebuilds only the services whose endpoints differ from the
+// previous view: at 1,200 nodes some record changes many times a second while a data centre
+// returns, and nearly all services stay the same. A service without endpoints keeps its
+// picker, so that its statistics are still there if it returns.
 func (p *pickers) update(now time.Time, v *membership.View) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,12 +84,12 @@
 	}
 }
 
-// entryNodeDrift is the share by which the number of entry nodes may move before
-// the subsets of all services follow it.
+// entryNodeDrift is the relative change in the number of entry nodes above which the subsets
+// of all services are resized.
 const entryNodeDrift = 0.1
 
-// changedServices returns the services whose endpoints are not the same in v as in the
-// view before, or all of them when the number of entry nodes has drifted.
+// changedServices returns the services whose endpoints differ between v and the previous view,
+// or all services if the number of entry nodes has changed by more than entryNodeDrift.
 func (p *pickers) changedServices(v *membership.View, entryNodes int) map[string]bool {
 	changed := make(map[string]bool)
 	drifted := math.Abs(float64(entryNodes-p.entryNodes)) > entryNodeDrift*float64(p.entryNodes)
@@ -119,7 +117,7 @@
 	return changed
 }
 
-// sameEndpoints reports whether two records of one VM give the same endpoints.
+// sameEndpoints reports whether two records of one VM result in the same endpoints.
 func sameEndpoints(a, b *membership.ObservedRecord) bool {
 	if a == nil || b == nil {
 		return a == b
@@ -127,7 +125,7 @@
 	return a.VM == b.VM && a.State == b.State && slices.Equal(a.Backends, b.Backends)
 }
 
-// addServices adds the services of a record.
+// addServices adds the services of a record, which may be nil.
 func addServices(services map[string]bool, r *membership.ObservedRecord) {
 	if r == nil {
 		return
@@ -137,7 +135,7 @@
 	}
 }
 
-// routableEndpoints returns the endpoints that take calls.
+// routableEndpoints returns the endpoints that are ready and not draining, by service.
 func routableEndpoints(endpoints map[string][]route.Endpoint) map[string][]proxy.Endpoint {
 	out := make(map[string][]proxy.Endpoint, len(endpoints))
 	for service, list := range endpoints {
@@ -165,7 +163,8 @@
 	return n
 }
 
-// countNodes counts the nodes of a data centre: each may be an entry node.
+// countNodes returns the number of nodes of a data centre, at least 1. Each may be an entry
+// node.
 func countNodes(v *membership.View, dc string) int {
 	n := 0
 	for _, r := range v.Records {
@@ -176,14 +175,14 @@
 	return max(n, 1)
 }
 
-// cachedEndpoints are the endpoints of one record, one for each backend server.
+// cachedEndpoints holds the endpoints of one record, one for each backend server.
 type cachedEndpoints struct {
 	record    *membership.ObservedRecord
 	endpoints []route.Endpoint
 }
 
-// endpointsOf returns the endpoints of the given services. Those of a record that is the same as
-// in the view before are not made anew.
+// endpointsOf returns the endpoints of the given services. Endpoints of unchanged records come
+// from the cache.
 func (p *pickers) endpointsOf(v *membership.View, services map[string]bool) map[string][]route.Endpoint {
 	out := make(map[string][]route.Endpoint, len(services))
 	for service := range services {
@@ -234,10 +233,10 @@
 	return e
 }
 
-// readyBackends returns how many backend servers of a service take calls.
+// readyBackends returns the number of backend servers of a service that take calls.
 func (p *pickers) readyBackends(service string) int { return (*p.readyCounts.Load())[service] }
 
-// forService returns the picker of a service; it knows no endpoints if no node holds it.
+// forService returns the picker of a service, without endpoints if no node holds the service.
 func (p *pickers) forService(service string) *route.Picker {
 	if picker := (*p.byService.Load())[service]; picker != nil {
 		return picker
@@ -254,8 +253,8 @@
 	if a.Look != proxy.LookNot {
 		c, err = picker.PickFreeSlot(now, a.Look == proxy.LookNear, a.Tried)
 	} else if t.RatePerSecond > 0 && len(a.Tried) > 0 {
-		// Every endpoint has an equal part of the rate. Where most callers
-		// are in one data centre, what is left is in the others.
+		// Every endpoint has an equal part of the rate. Where most callers are in one data
+		// centre, the unused rate is in the others.
 		c, err = picker.PickAnywhere(now, a.Tried)
 	} else {
 		c, err = picker.PickFor(now, route.PickInfo{Tried: a.Tried, Idempotent: t.Idempotent, RemoteCost: size.remoteCost()})
@@ -280,13 +279,13 @@
 	return p.forService(t.Service).TriedAll(now, tried)
 }
 
-// endpointByKey returns the ID of the endpoint that route.Picker.PickByKey picks, or "".
+// endpointByKey returns the ID of the endpoint that route.Picker.PickByKey picks, or "" if
+// there is none.
 func (p *pickers) endpointByKey(now time.Time, service string, key uint64, avoid []string) string {
 	return p.forService(service).EndpointByKey(now, key, avoid)
 }
 
-// choice gives route.Choice the shape that the proxy asks for. It is used again
-// after Done.
+// choice adapts route.Choice to proxy.Choice. It returns to choicePool on Done.
 type choice struct {
 	c    route.Choice
 	size *answerSize
--- a/internal/node/pickers_bench_test.go
+++ b/internal/node/pickers_bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// newTestView is a view of n nodes in 5 data centres, each with a backend server of
-// one of 61 services.
+// newTestView returns a view of n nodes in 5 data centres, each with a backend server of one of
+// 61 services.
 func newTestView(n int) *membership.View {
 	v := &membership.View{Self: "vm-0", Records: make(map[string]*membership.ObservedRecord, n)}
 	for i := range n {
@@ -37,9 +37,8 @@
 	return p
 }
 
-// BenchmarkPickers measures what a view with one changed record costs the
-// pickers of a node, by the number of records in it, and the heap that the
-// pickers keep.
+// BenchmarkPickers measures an update of a node's pickers with one changed record, by the
+// number of records in the view, and the heap that the pickers hold.
 func BenchmarkPickers(b *testing.B) {
 	for _, n := range []int{100, 300, 600, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -58,8 +57,8 @@
 	}
 }
 
-// BenchmarkPickersAll is BenchmarkPickers with every record changed, which is
-// also what each view cost before only what changed was worked on.
+// BenchmarkPickersAll is BenchmarkPickers with every record changed, which is the cost of an
+// update that is not incremental.
 func BenchmarkPickersAll(b *testing.B) {
 	p := newTestPickers(1200)
 	views := [2]*membership.View{newTestView(1200), newTestView(1200)}
@@ -74,7 +73,7 @@
 	}
 }
 
-// withOneChange returns a view that shares all records with v but one.
+// withOneChange returns a view that shares all records but one with v.
 func withOneChange(v *membership.View) *membership.View {
 	next := &membership.View{Self: v.Self, Records: maps.Clone(v.Records)}
 	r := *v.Records["vm-7"]
--- a/internal/node/pickers_test.go
+++ b/internal/node/pickers_test.go
@@ -21,9 +21,9 @@
 	os.Exit(m.Run())
 }
 
-// After any sequence of views, pickers that took them one by one hold the same
-// endpoints as pickers that see only the last one. A service left out of an
-// update would send calls to an endpoint that is gone.
+// Guards against a service left out of an incremental update, whose calls would go to an
+// endpoint that no longer exists: after any sequence of views, pickers hold the same endpoints
+// as pickers that were given only the last view.
 func TestPickersFollowEveryView(t *testing.T) {
 	self := membership.VM{ID: "vm-0", DataCentre: "dc-0", Region: "region-0"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -50,8 +50,8 @@
 
 var services = []string{"berths", "surveys", "cranes"}
 
-// drawView returns a view in which some records are replaced, added or gone, and
-// the others are shared with v.
+// drawView returns a view in which some records are replaced, added or removed, and the others
+// are shared with v.
 func drawView(t *rapid.T, v *membership.View) *membership.View {
 	next := &membership.View{Self: v.Self, Records: map[string]*membership.ObservedRecord{}}
 	for i := range 8 {
@@ -90,7 +90,7 @@
 	return r
 }
 
-// describeEndpoints returns the endpoints of a service with what picking goes by.
+// describeEndpoints returns the endpoints of a service with the fields that picking depends on.
 func describeEndpoints(p *pickers, service string, now time.Time) []string {
 	var out []string
 	for _, e := range p.forService(service).Endpoints(now) {
--- a/internal/node/platform_proxy_test.go
+++ b/internal/node/platform_proxy_test.go
@@ -11,12 +11,12 @@
 	"testing"
 )
 
-// platformProxy stands on the way from one node to the platform.
+// platformProxy is a proxy between one node and the platform that can inject failures.
 type platformProxy struct {
 	url  string
 	down atomic.Bool
 	// dropAnswerOf is the id of a command whose commit takes effect and whose answer is
-	// lost; onLost is called in between.
+	// dropped; onDropped is called in between.
 	dropAnswerOf atomic.Pointer[string]
 	onDropped    func()
 }
@@ -46,7 +46,7 @@
 	return g
 }
 
-// dropsAnswer reports whether r is the commit whose answer is to be lost.
+// dropsAnswer reports whether r is the commit whose answer is to be dropped, and does so once.
 func (g *platformProxy) dropsAnswer(r *http.Request) bool {
 	id := g.dropAnswerOf.Load()
 	if id == nil || r.Method != http.MethodPost {
--- a/internal/node/policies.go
+++ b/internal/node/policies.go
@@ -4,27 +4,27 @@
 	"github.com/marlpass/marlpass/internal/proxy"
 )
 
-// Policies replace some of a node's own policies for calls by plain ones, so
-// that each can be measured against its baseline. The zero value replaces none.
+// Policies replaces some of a node's call policies with simple ones, so that each can be
+// measured against a baseline. The zero value replaces none.
 type Policies struct {
 	// RoundRobin picks ready endpoints in turn.
 	RoundRobin bool
-	// FixedLimit runs as many calls at once as a backend server has slots,
-	// first come, first served.
+	// FixedLimit runs as many concurrent calls as a backend server has slots, in order of
+	// arrival.
 	FixedLimit bool
-	// Retrier decides on retries; nil takes the node's own.
+	// Retrier decides on retries; nil keeps the node's own.
 	Retrier proxy.Retrier
-	// NoDeduplication runs keyed calls without a claim.
+	// NoDeduplication runs calls with an idempotency key without a claim.
 	NoDeduplication bool
-	// NoQuarantine keeps no request from running.
+	// NoQuarantine never isolates or refuses a request as a suspected cause of crashes.
 	NoQuarantine bool
 }
 
-// baselineAttempts is how often the baseline sends a call.
+// baselineAttempts is the number of attempts per call of the baseline.
 const baselineAttempts = 3
 
-// Baseline returns the plain policies for everything. Its retries go on up to
-// three attempts whether or not a call may have run.
+// Baseline returns policies that replace all of the node's own. They make up to three attempts
+// whether or not a call may have run.
 func Baseline() Policies {
 	return Policies{
 		RoundRobin: true, FixedLimit: true, Retrier: proxy.RetryAlwaysUpTo(baselineAttempts),
@@ -32,7 +32,7 @@
 	}
 }
 
-// destinationParts returns the parts of the destination with these policies.
+// destinationParts returns parts with these policies applied.
 func (p Policies) destinationParts(parts proxy.DestinationParts) proxy.DestinationParts {
 	if p.FixedLimit {
 		parts.Gates = new(proxy.FixedLimit)
@@ -46,7 +46,7 @@
 	return parts
 }
 
-// entryParts returns the parts of the entry with these policies.
+// entryParts returns parts with these policies applied.
 func (p Policies) entryParts(parts proxy.EntryParts, own *pickers) proxy.EntryParts {
 	if p.RoundRobin {
 		own.roundRobin = new(proxy.RoundRobin)
--- a/internal/node/refused_test.go
+++ b/internal/node/refused_test.go
@@ -14,12 +14,10 @@
 	"github.com/marlpass/marlpass/internal/settings"
 )
 
-// During a rolling upgrade an operator states a target with a field that only
-// newer nodes know. An older node can verify the version and pass it on, but it
-// must not run it without that field: it keeps the version it runs, whole, and
-// every other node has to learn of the refusal, or the next shift would see a
-// node that is merely behind.
-func TestARefusedVersionIsKeptOutAndTold(t *testing.T) {
+// Guards against a node that runs a version with a field it does not know, as during a rolling
+// upgrade. It must keep the version in force and pass on the new one, and every other node must
+// receive the refusal; otherwise the node would only look behind.
+func TestRefusedVersionIsNotAppliedAndIsReported(t *testing.T) {
 	m, err := localmesh.Start(localmesh.Options{
 		Name: "refusing", Profile: settings.ProfileTime, Log: zerolog.Nop(),
 		DataCentres: []localmesh.DataCentre{{Name: "neg-shed", Region: "western", VMs: 3}},
@@ -42,7 +40,7 @@
 		t.Fatal(err)
 	}
 	m.VMs[0].Node().AcceptVersion(delta)
-	told := func(n *node.Node) bool {
+	reported := func(n *node.Node) bool {
 		for _, vm := range m.VMs {
 			version, reason := n.ObservedRefusal(vm.ID)
 			if version != delta.To.Number || !strings.Contains(reason, "hedge") {
@@ -51,8 +49,8 @@
 		}
 		return true
 	}
-	if err := m.WaitFor(ctx, told); err != nil {
-		t.Fatal("not every node learned of every refusal:", err)
+	if err := m.WaitFor(ctx, reported); err != nil {
+		t.Fatal("not every node received every refusal:", err)
 	}
 	for _, vm := range m.VMs {
 		if got := vm.Node().Version(); got != before.Version() {
--- a/internal/node/rejecting_submitter.go
+++ b/internal/node/rejecting_submitter.go
@@ -6,9 +6,9 @@
 	"github.com/marlpass/marlpass/internal/command"
 )
 
-// rejectingSubmitter refuses operators' commands at a node that follows versions
-// accepted elsewhere: whoever accepts them would not know of the change, and the
-// next version would undo it.
+// rejectingSubmitter refuses operators' commands at a node that follows versions accepted
+// elsewhere. The source of those versions would not have the change, and its next version would
+// revert it.
 type rejectingSubmitter struct{}
 
 // Submit implements command.Submitter.
--- a/internal/node/retries.go
+++ b/internal/node/retries.go
@@ -8,34 +8,33 @@
 	"github.com/marlpass/marlpass/internal/settings"
 )
 
-// Parts of what the settings allow the whole mesh that its nodes really use.
+// Fractions of the mesh-wide retry settings that the nodes use.
 //
-// A call that was sent again makes its own calls again, and those count at the
-// service further down beside that one's own retries; half of the ratio leaves
-// room for them. Of the slack, one half may be saved up and the other is earned
-// within the window, so that no window sees more than the whole.
+// A retried call repeats its nested calls, which count at the downstream service beside that
+// service's own retries; half of the ratio leaves room for them. One half of the slack is burst
+// and the other is earned within the window, so that no window sees more than the whole slack.
 const (
 	ratioFraction = 0.5
 	slackFraction = 0.5
 )
 
-// boundedAttempts is how many nodes a call is offered to where its class bounds how
-// many backend servers may get it.
+// boundedAttempts is the number of nodes that a call is offered to where its class bounds the
+// number of backend servers that may receive it.
 const boundedAttempts = 6
 
-// boundedBurst is how many retries a node may save up of its calls' part, where
-// the settings bound those of the whole mesh.
+// boundedBurst is the retry budget's burst per node where the settings bound the retries of the
+// whole mesh.
 const boundedBurst = 4
 
 // retries keeps one retry.Policy, with its budget, for each service.
 type retries struct {
 	set       settings.Retries
-	nodeCount atomic.Int64 // that share the slack
+	nodeCount atomic.Int64 // nodes that share the slack
 	byService sync.Map
-	reasons   counterSet // decisions by their reason
+	reasons   counterSet // decisions by reason
 }
 
-// setNodeCount tells how many nodes share what the settings allow the mesh.
+// setNodeCount sets the number of nodes that share the mesh-wide slack.
 func (r *retries) setNodeCount(n int) {
 	if r.set.Slack == 0 || r.nodeCount.Swap(int64(n)) == int64(n) {
 		return
@@ -46,7 +45,7 @@
 	})
 }
 
-// setFloor gives a policy this node's part of the slack.
+// setFloor sets this node's part of the slack in a policy.
 func (r *retries) setFloor(p *retry.Policy) {
 	if r.set.Slack == 0 {
 		return
@@ -75,7 +74,7 @@
 	return p.(*retry.Policy)
 }
 
-// eachBudget calls visit with the repeats that each service's calls have left here.
+// eachBudget calls visit with the retries that remain for each service at this node.
 func (r *retries) eachBudget(visit func(service string, remaining float64)) {
 	r.byService.Range(func(service, p any) bool {
 		visit(service.(string), p.(*retry.Policy).RemainingRetries())
--- a/internal/node/rollout_peer.go
+++ b/internal/node/rollout_peer.go
@@ -85,13 +85,13 @@
 		r.n.control.backends()
 	} else {
 		r.log.Warn().Str("service", i.Service).Str("from", q.GetFrom()).Uint64("order", i.Order).Uint64("token", i.Token).
-			Msg("rollout: ignore an instruction older than what is known")
+			Msg("rollout: ignored an outdated instruction")
 	}
 	return r.serverReports(now, i.Service)
 }
 
-// startTallies has the servers of a service count for the order of an instruction. What they
-// counted for it before, under another conductor, stays. The caller holds r.mu.
+// startTallies resets the tallies of a service's servers for a new order. Counts for the same
+// order under an earlier conductor are kept. The caller holds r.mu.
 func (r *rollouts) startTallies(i rollout.Instruction) {
 	for _, s := range r.localServers(i.Service) {
 		if s.order != i.Order {
@@ -101,7 +101,7 @@
 	}
 }
 
-// localServers returns the servers of a service here, by instance.
+// localServers returns the servers of a service at this node, by instance.
 func (r *rollouts) localServers(service string) map[string]*versionedServer {
 	out := make(map[string]*versionedServer)
 	for instance, s := range *r.servers.Load() {
@@ -119,7 +119,8 @@
 	return nil
 }
 
-// serverReports tells what the servers of a service here have done.
+// serverReports returns the calls in flight, admission state and counts of a service's servers
+// at this node.
 func (r *rollouts) serverReports(now time.Time, service string) []*peerpb.RolloutServer {
 	var out []*peerpb.RolloutServer
 	for instance, s := range r.localServers(service) {
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// closeDelay is how long a server of a replaced version still takes calls once
-	// it is told as not ready: entry nodes learn of that in the meantime.
+	// closeDelay is how long a server of a replaced version still takes calls after it is
+	// published as not ready, until entry nodes have received that state.
 	closeDelay = 700 * time.Millisecond
-	// admissionLag is more than a call takes from its admission until it counts as in flight.
+	// admissionLag is longer than a call takes from its admission until it counts as in flight.
 	admissionLag = 100 * time.Millisecond
-	// settleTime is how long after its start a node may still learn of servers of
-	// another version that it can't have seen before.
+	// settleTime is how long after its start a node may still discover servers of another
+	// version that were there before.
 	settleTime = 3 * time.Second
-	// lapseCheckInterval is the time between two looks at grants that lapse.
+	// lapseCheckInterval is the time between two checks for expired grants.
 	lapseCheckInterval = 100 * time.Millisecond
-	// rolloutReadTimeout bounds a read of the orders and records.
+	// rolloutReadTimeout bounds a read or write of orders and records.
 	rolloutReadTimeout = 2 * time.Second
 )
 
@@ -38,43 +38,43 @@
 	errVersionQuota = &call.Refusal{Reason: call.ReasonBusy, Detail: "its version has had its calls in the rollout"}
 )
 
-// rollouts decides what the backend servers beside this node take while their service's
-// calls move to another version. It gives rollout.Guard the shape that the proxy asks for.
+// rollouts decides which calls the backend servers of this VM admit while their service's calls
+// move to another version. It adapts rollout.Guard to proxy.Rollouts.
 type rollouts struct {
 	n       *Node
 	log     zerolog.Logger
 	started time.Time
 
-	mu       sync.Mutex // guards guards and the servers' fields but for those on a call's path
+	mu       sync.Mutex // guards the guards and all fields of the servers that calls do not use
 	guards   map[string]*rollout.Guard
-	fetching map[string]bool // services whose order is being read
+	fetching map[string]bool // services whose order is being fetched
 
 	servers atomic.Pointer[map[string]*versionedServer] // by instance
 	wake    chan struct{}
 }
 
-// versionedServer is a backend server with what it takes now.
+// versionedServer is a backend server of one version with its current admission.
 type versionedServer struct {
 	service, version string
 	warmAt           time.Time
-	// tally counts for the rollout of an order; nil before anyone has asked.
+	// tally counts calls for the rollout of an order; nil before the first instruction.
 	tally     atomic.Pointer[rollout.Tally]
 	order     uint64
 	admission atomic.Pointer[serverAdmission]
 
-	firstSeen time.Time // when it was first met
-	settled   bool      // it takes calls until somebody says otherwise
+	firstSeen time.Time // when it first announced itself
+	settled   bool      // it admits calls until an order or record closes it
 }
 
-// serverAdmission is a rollout.Admission in force at a server.
+// serverAdmission is the rollout.Admission in force at a server.
 type serverAdmission struct {
 	rollout.Admission
-	remaining atomic.Int64 // calls, where the admission is limited
-	// closesAt is when a server that isn't open any more takes its last call.
+	remaining atomic.Int64 // calls left, where the admission is limited
+	// closesAt is until when a server that is no longer open still admits calls.
 	closesAt time.Time
 }
 
-// accepts reports whether a call may be admitted.
+// accepts reports whether a call may be admitted at the given time.
 func (a *serverAdmission) accepts(now time.Time) bool {
 	if !a.Open {
 		return now.Before(a.closesAt)
@@ -121,7 +121,7 @@
 	case !a.Open && a.closesAt.IsZero():
 		return errVersionHeld
 	}
-	// Calls that waited for a slot while a baseline was closed are still run: it isn't
+	// Calls that waited for a slot when a baseline was closed still run: the baseline is not
 	// drained before they have ended.
 	return nil
 }
@@ -137,8 +137,8 @@
 	}
 }
 
-// setBackends takes in the backend servers that announced themselves here, and returns them as
-// other nodes are to see them.
+// setBackends updates the backend servers announced at this node, and returns them in the state
+// to publish to other nodes.
 func (r *rollouts) setBackends(now time.Time, list []announce.Backend) []announce.Backend {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,7 +162,7 @@
 	return out
 }
 
-// updateAdmission brings what a server takes up to date. The caller holds r.mu.
+// updateAdmission updates the admission of a server. The caller holds r.mu.
 func (r *rollouts) updateAdmission(now time.Time, s *versionedServer) {
 	was := s.admission.Load()
 	g := r.guard(s.service)
@@ -182,7 +182,8 @@
 	}
 }
 
-// decideAdmission returns what a server takes now, and has the table asked where that can't be told.
+// decideAdmission returns the admission of a server, and fetches the order from the table where
+// the guard needs it to decide.
 func (r *rollouts) decideAdmission(now time.Time, s *versionedServer, g *rollout.Guard) rollout.Admission {
 	if r.n.o.Orders == nil {
 		return rollout.Admission{Open: true}
@@ -209,8 +210,8 @@
 	return g
 }
 
-// observeVersions looks for servers of other versions. One that has taken calls before they came is of
-// the version that they are to replace.
+// observeVersions looks for servers of other versions in the view. A server that took calls
+// before they appeared is of the version that they replace.
 func (r *rollouts) observeVersions(s *versionedServer) rollout.Met {
 	m := rollout.Met{Since: s.firstSeen}
 	if s.settled || s.version == "" {
@@ -231,7 +232,7 @@
 	return m
 }
 
-// run looks after grants that lapse and servers that wait to be let in, until ctx ends.
+// run updates the backend servers when grants expire or closed servers may open, until ctx ends.
 func (r *rollouts) run(ctx context.Context) {
 	ticker := time.NewTicker(lapseCheckInterval)
 	defer ticker.Stop()
@@ -249,7 +250,7 @@
 	}
 }
 
-// needsUpdate reports whether what a server takes may have changed by itself.
+// needsUpdate reports whether the admission of a server may have changed with time.
 func (r *rollouts) needsUpdate(now time.Time) bool {
 	starting := now.Sub(r.started) < settleTime
 	for _, s := range *r.servers.Load() {
@@ -262,7 +263,7 @@
 	return false
 }
 
-// requestUpdate has run look now.
+// requestUpdate makes run update the backend servers now.
 func (r *rollouts) requestUpdate() {
 	select {
 	case r.wake <- struct{}{}:
@@ -270,8 +271,7 @@
 	}
 }
 
-// fetchOrder asks the table for the order and the record of a service, beside the caller, who
-// holds r.mu.
+// fetchOrder reads the order and the record of a service in a goroutine. The caller holds r.mu.
 func (r *rollouts) fetchOrder(service string) {
 	if r.fetching[service] {
 		return
@@ -293,7 +293,7 @@
 	}()
 }
 
-// loadOrder returns the newest order for a service and its record; both may be empty.
+// loadOrder reads the newest order for a service and its record; both may be empty.
 func (r *rollouts) loadOrder(ctx context.Context, service string) (rollout.Order, rollout.Record, error) {
 	order, found, err := r.n.o.Orders.Order(ctx, service)
 	if err != nil || !found {
@@ -303,8 +303,8 @@
 	return order, record, err
 }
 
-// loadRecord returns the record of a service with its row's revision; it is empty if there
-// is none.
+// loadRecord reads the rollout record of a service and the revision of its row. Without a row
+// the record is empty and the revision is platform.Absent.
 func loadRecord(ctx context.Context, table platform.Table, service string) (rollout.Record, uint64, error) {
 	row, err := table.Get(ctx, rollout.Key(service))
 	switch {
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -7,9 +7,9 @@
 	"github.com/marlpass/marlpass/internal/rollout"
 )
 
-// Guards against calls that waited for a slot of a canary and run there after its version was
-// rolled back, and against calls that waited at a draining baseline and are refused.
-func TestWaitingCallsOfAClosedServer(t *testing.T) {
+// Guards against calls that run at a canary after its version was rolled back while they waited
+// for a slot, and against the refusal of calls that waited at a draining baseline.
+func TestCallsWaitingAtAClosedServer(t *testing.T) {
 	now := time.Now()
 	canary := &serverAdmission{Admission: rollout.Admission{Open: true, Limited: true, Limit: 1}}
 	canary.remaining.Store(1)
@@ -18,17 +18,17 @@
 		admission *serverAdmission
 		runs      bool
 	}{
-		{"a canary with a call left", canary, true},
-		{"a canary without one", canary, false},
-		{"a version that was rolled back", &serverAdmission{}, false},
-		{"a baseline that drains", &serverAdmission{closesAt: now.Add(-time.Second)}, true},
+		{"canary with a call left", canary, true},
+		{"canary without calls left", canary, false},
+		{"version that was rolled back", &serverAdmission{}, false},
+		{"draining baseline", &serverAdmission{closesAt: now.Add(-time.Second)}, true},
 	} {
 		s := &versionedServer{service: "s", version: "v2"}
 		s.admission.Store(c.admission)
 		r := &rollouts{}
 		r.servers.Store(&map[string]*versionedServer{"i": s})
 		if refusal := r.Begin(now, "i"); (refusal == nil) != c.runs {
-			t.Errorf("%s: %v", c.name, refusal)
+			t.Errorf("%s: got refusal %v", c.name, refusal)
 		}
 	}
 }
--- a/internal/node/sizes.go
+++ b/internal/node/sizes.go
@@ -6,17 +6,17 @@
 	"sync/atomic"
 )
 
-// remoteCostBytes is the size of an answer whose way to another data centre weighs as
-// much as one full set of slots at the endpoint. Bytes between the users' data
-// centres are dear: at their prices the way of 100 to 200 KB costs as much as the
-// answer brings. One of that size should go there only when the near endpoints could
-// not give it in time, with two or more full sets of slots waiting.
+// remoteCostBytes is the answer size at which a transfer between data centres costs as much as
+// one full set of slots in use at the endpoint. At the users' prices for that traffic, the
+// transfer of 100 to 200 KB costs as much as the answer is worth. A call with an answer of that
+// size should leave its data centre only when the local endpoints could not answer in time,
+// with two or more full sets of slots waiting.
 const remoteCostBytes = 48 << 10
 
-// sizeWeight is the weight of one answer in the mean size of its class.
+// sizeWeight is the weight of one answer in the moving mean of its class.
 const sizeWeight = 0.1
 
-// answerSizes keep the mean size of the answers of each class.
+// answerSizes holds the mean answer size of each class.
 type answerSizes struct{ byClass sync.Map }
 
 func (a *answerSizes) forClass(class string) *answerSize {
@@ -27,7 +27,7 @@
 	return s.(*answerSize)
 }
 
-// answerSize is a moving mean in bytes, as the bits of a float64.
+// answerSize is a moving mean in bytes, stored as the bits of a float64.
 type answerSize struct{ bits atomic.Uint64 }
 
 func (s *answerSize) add(n int64) {
@@ -44,14 +44,14 @@
 	}
 }
 
-// minRemoteCost is what the way to another data centre weighs for the smallest answer, in
-// full sets of slots: the far endpoint has to be less busy by two slots of five. Where
-// both sides have room the way buys nothing. On a calm day 0.4 took a third of the bytes that
-// 0.08 did and served as many calls in time; from 0.9 on, overloaded sites served fewer. Where
-// the near side is full, its refusal sends the call across.
+// minRemoteCost is the cost of another data centre for the smallest answer, in full sets of
+// slots: the remote endpoint has to be less busy by two slots of five. While both sides have
+// room, a remote call gains nothing. At normal load, 0.4 caused a third of the bytes between
+// data centres that 0.08 did and served as many calls in time; from 0.9 on, overloaded data
+// centres served fewer. Where the local endpoints are full, their refusals send calls to others.
 const minRemoteCost = 0.4
 
-// remoteCost returns what the way to another data centre weighs; see route.PickInfo.
+// remoteCost returns the cost of another data centre; see route.PickInfo.
 func (s *answerSize) remoteCost() float64 {
 	return minRemoteCost + math.Float64frombits(s.bits.Load())/remoteCostBytes
 }
--- a/internal/node/sizes_test.go
+++ b/internal/node/sizes_test.go
@@ -8,11 +8,10 @@
 	"github.com/marlpass/marlpass/internal/route"
 )
 
-// Three data centres have two backend servers each, and calls come in evenly. Half of
-// all calls crossed to another one although the near ones had room: what is known of
-// the far ones is a little older, and looks a little idler. Small answers have to stay
-// while a slot is free near by, and cross when all are taken.
-func TestSmallAnswersStayNearWhileThereIsRoom(t *testing.T) {
+// Guards against calls that leave their data centre while it has free slots. Load reports from
+// remote endpoints are older and make them look idler, so that half of all calls crossed under
+// even load. Calls must stay local while slots are free and cross when all are taken.
+func TestSmallAnswersStayLocalWhileSlotsAreFree(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := route.New(route.Options{Self: "vm-9", DataCentre: "dc-0", Region: "r", RegionWide: true, Seed: 7})
 	var eps []route.Endpoint
@@ -45,9 +44,9 @@
 		return n
 	}
 	if n := crossed(6); n != 0 {
-		t.Errorf("with a third of the near slots taken, %d of 6 calls crossed", n)
+		t.Errorf("with a third of the local slots taken, %d of 6 calls left the data centre", n)
 	}
 	if n := crossed(40); n < 10 {
-		t.Errorf("of 40 calls to 18 near slots only %d crossed", n)
+		t.Errorf("of 40 calls to 18 local slots only %d left the data centre", n)
 	}
 }
--- a/internal/node/split.go
+++ b/internal/node/split.go
@@ -7,18 +7,18 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// split shares the calls of one target out over the services of its parts.
+// split distributes the calls of one target over the services of its parts by weight.
 type split struct {
-	// parts are the target itself, once for each part, with that part's service.
+	// parts holds a copy of the target for each part, with that part's service.
 	parts []*config.Target
-	// cumulative is the running sum of the weights, part by part.
+	// cumulative holds the running sum of the weights.
 	cumulative []uint64
-	// counter counts the calls. It starts at random, so that the nodes of a mesh
-	// are not all at the same part when a version comes into force.
+	// counter counts the calls. It starts at random, so that the nodes of a mesh do not all
+	// pick the same part when a version comes into force.
 	counter atomic.Uint64
 }
 
-// newSplits returns the splits of s by the names of their targets.
+// newSplits returns the splits of s by target name.
 func newSplits(s *config.Snapshot) map[string]*split {
 	out := make(map[string]*split)
 	for _, t := range s.Targets() {
@@ -42,16 +42,16 @@
 	return s
 }
 
-// goldenRatio64 is 2^64 over the golden ratio. Its multiples are spread so evenly that
-// any number of calls in a row is shared out by the weights to within one or two
-// calls, where independent draws would be off by the root of their number.
+// goldenRatio64 is 2^64 divided by the golden ratio. Its multiples are spread so evenly that any
+// run of calls follows the weights to within one or two calls, where independent draws would be
+// off by the square root of their number.
 const goldenRatio64 = 0x9e3779b97f4a7c15
 
-// pick returns the target of the part that the next call goes to.
+// pick returns the target for the next call.
 func (s *split) pick() *config.Target {
 	total := s.cumulative[len(s.cumulative)-1]
-	// The upper half of the word, scaled to the sum of the weights: both are
-	// below 2^32, so nothing overflows.
+	// Scale the upper 32 bits to the sum of the weights: both are below 2^32, so the product
+	// does not overflow.
 	at := (s.counter.Add(1) * goldenRatio64 >> 32) * total >> 32
 	for i, bound := range s.cumulative {
 		if at < bound {
@@ -61,7 +61,7 @@
 	return s.parts[len(s.parts)-1]
 }
 
-// forService returns the target of the part with that service, or nil.
+// forService returns the target of the part with the given service, or nil.
 func (s *split) forService(service string) *config.Target {
 	for _, p := range s.parts {
 		if p.Service == service {
--- a/internal/node/split_test.go
+++ b/internal/node/split_test.go
@@ -7,9 +7,9 @@
 	"github.com/marlpass/marlpass/internal/config"
 )
 
-// Operators send a tenth of the lookups to a new service. Drawn independently, the
-// part of a few hundred calls is off by several in a hundred, and with few calls a
-// node the new service may get none for a while.
+// Guards against a split that drifts from its weights over a few hundred calls. Independent
+// draws would be off by several percent, and at few calls per node a part with a small weight
+// could get none for a while.
 func TestSplitKeepsItsWeights(t *testing.T) {
 	target := &config.Target{Name: "t", Service: "old", Split: []config.Part{
 		{Service: "old", Weight: 90}, {Service: "new", Weight: 10}, {Service: "off", Weight: 0},
--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -18,29 +18,28 @@
 	"github.com/marlpass/marlpass/internal/quarantine"
 )
 
-// Bounds on looking whether a backend server crashed.
 const (
-	crashCheckTimeout = 500 * time.Millisecond
+	crashCheckTimeout = 500 * time.Millisecond // of the connection attempt after a broken one
 	alertTimeout      = time.Second
 )
 
-// alerter tells the nodes that hold a service of suspects, without waiting for
-// the membership to spread them.
+// alerter sends notices of suspects directly to the nodes that hold a service, without waiting
+// for gossip.
 type alerter interface {
 	alert(ctx context.Context, service string, ns []membership.Notice)
 }
 
-// suspects gives quarantine.List the shape that the proxy asks for, and finds
-// out whether a backend server whose connection broke has crashed.
+// suspects adapts quarantine.List to proxy.Suspects, and checks whether a backend server whose
+// connection broke has crashed.
 type suspects struct {
 	list    *quarantine.List
 	log     zerolog.Logger
 	alerter alerter
-	// setNotices is given this node's own notices, the same ones again included.
+	// setNotices receives all of this node's own notices, also when they have not changed.
 	setNotices func([]membership.Notice)
-	// endpointByKey returns the endpoint of a service that a key chooses, or "".
+	// endpointByKey returns the ID of the endpoint that a key selects for a service, or "".
 	endpointByKey func(now time.Time, service string, key uint64, avoid []string) string
-	checks        sync.Map // backend ID to struct{}, while a check is under way
+	checks        sync.Map // backend server ID to struct{}, while a check runs
 	checksRunning sync.WaitGroup
 }
 
@@ -98,12 +97,12 @@
 	})
 }
 
-// checkCrash tries one new connection. A backend server that refuses it has no
-// process that listens any more; one that takes it merely lost a connection.
+// checkCrash opens one new connection. A backend server that refuses it no longer has a
+// listening process; one that accepts it only lost a connection.
 //
-// Only a refusal counts. A dial that times out or finds no free file tells of a
-// full queue of connections or of a want on this node; taking it for a crash
-// would make suspects of all that runs at a backend server that is merely busy.
+// Only a refusal counts as a crash. A dial that times out or finds no free file descriptor
+// indicates a full accept queue or a shortage on this node. Treating it as a crash would put
+// all requests at a busy backend server under suspicion.
 func (s *suspects) checkCrash(b proxy.Backend) {
 	c, err := net.DialTimeout("tcp", b.Addr, crashCheckTimeout)
 	if err == nil {
@@ -120,10 +119,9 @@
 	}
 }
 
-// backendReplaced takes in that a backend server announced itself anew, under the same
-// instance: its process may have crashed and come back before anybody could
-// look. was is the state of the one before: one that drained was replaced on
-// plan.
+// backendReplaced handles a backend server that announces itself anew under the same instance:
+// its process may have crashed and restarted before a check. was is the state of the previous
+// one; if it was draining, the replacement was planned.
 func (s *suspects) backendReplaced(b proxy.Backend, was membership.BackendState) {
 	evidence := quarantine.Evidence{Broken: true, Restarted: true, Leaving: was == membership.BackendDraining}
 	if !evidence.IsCrash() {
@@ -134,7 +132,7 @@
 	}
 }
 
-// reportCrash tells the mesh of a crash and of the requests that may have caused it.
+// reportCrash logs a crash and sends notices of the requests that may have caused it.
 func (s *suspects) reportCrash(b proxy.Backend, urgent []membership.Notice) {
 	s.log.Warn().Str("service", b.Service).Str("instance", b.Instance).Int("suspects", len(urgent)).
 		Msg("quarantine: backend server crashed")
@@ -147,21 +145,20 @@
 	s.alerter.alert(ctx, b.Service, urgent)
 }
 
-// publishNotices makes this node's record hold what is true now of the suspects found
-// here. That changes without a crash: one is answered, lifted by an operator at
-// any node, or expires. A record that went on telling of a quarantine would
-// bring it back at every node that starts after the one that told of the lift
-// has gone.
+// publishNotices updates the notices in this node's record. They also change without a crash: a
+// suspect request is answered, lifted by an operator at any node, or expires. A stale notice
+// would bring back a quarantine at every node that starts after the node that published the
+// lift has left.
 func (s *suspects) publishNotices(now time.Time) { s.setNotices(s.list.Notices(now)) }
 
-// pruneBackends drops what is noted of backend servers that left long ago.
+// pruneBackends drops the state of backend servers that left long ago.
 func (s *suspects) pruneBackends(now time.Time, list []announce.Backend) {
 	s.list.Retain(now, func(instance string) bool {
 		return slices.ContainsFunc(list, func(b announce.Backend) bool { return b.Instance == instance })
 	})
 }
 
-// mergeNotices takes in what other nodes tell in their records.
+// mergeNotices merges the notices in the records of other nodes.
 func (s *suspects) mergeNotices(now time.Time, v *membership.View) {
 	for id, r := range v.Records {
 		if id != v.Self && len(r.Notices) > 0 {
--- a/internal/node/suspects_test.go
+++ b/internal/node/suspects_test.go
@@ -37,11 +37,10 @@
 	return tok
 }
 
-// An operator replaces a backend server twice. Each time the old process
-// drains, the new one announces itself under the same instance, and a slow
-// booking still runs at the old one. It was taken for the cause of two crashes,
-// and quarantined for half an hour.
-func TestPlannedReplacementIsNoCrash(t *testing.T) {
+// Guards against a planned replacement counted as a crash. The new process announces itself
+// under the same instance while a slow request still runs at the draining one; after two
+// replacements the request was quarantined for half an hour.
+func TestPlannedReplacementIsNotACrash(t *testing.T) {
 	for _, was := range []membership.BackendState{membership.BackendDraining, membership.BackendReady} {
 		s, alerts := newSuspects()
 		b := proxy.Backend{Service: "berths", Instance: "a", State: membership.BackendReady}
@@ -56,8 +55,8 @@
 	}
 }
 
-// A backend server crashes and is back under the same instance before anybody
-// could look. The request whose connection broke is a suspect.
+// Guards against a missed crash: a backend server restarts under the same instance before the
+// crash check. The request whose connection broke is a suspect.
 func TestRestartAfterABrokenConnectionIsACrash(t *testing.T) {
 	s, alerts := newSuspects()
 	b := proxy.Backend{Service: "berths", Instance: "a", State: membership.BackendReady}
@@ -68,10 +67,9 @@
 	}
 }
 
-// A connection breaks while the backend server is so busy that a new one is not
-// taken in time. What runs there was put under suspicion, as after a crash. Only
-// a refused connection shows that no process listens.
-func TestBusyBackendServerIsNoCrash(t *testing.T) {
+// Guards against suspicion of the requests at a busy backend server that does not accept a new
+// connection in time. Only a refused connection shows that no process listens.
+func TestBusyBackendServerIsNotACrash(t *testing.T) {
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/workspaces.go
+++ b/internal/node/workspaces.go
@@ -22,35 +22,36 @@
 )
 
 const (
-	// usageTimeout bounds an exchange with a collector.
+	// usageTimeout bounds a request to a collector.
 	usageTimeout = 250 * time.Millisecond
-	// reportIntervalPerNode is the least time between two reports of a node for each node of its data
-	// centre, so that a collector's work doesn't grow with the mesh.
+	// reportIntervalPerNode, times the nodes of the data centre, is the minimum time between two
+	// reports of a node, so that a collector's work does not grow with the mesh.
 	reportIntervalPerNode = 8 * time.Millisecond
-	// limitedClearAfter is how long a workspace has to be within its quota to count as such again.
+	// limitedClearAfter is the time within its quota after which a workspace is no longer logged
+	// as over it.
 	limitedClearAfter = 3 * time.Second
-	// overQuotaRetryAfter is the mean time after which callers over their quota are told to come
-	// back, and unconfirmedAgain the same where keys are not confirmed.
+	// overQuotaRetryAfter is the mean retry delay sent to callers over their quota, and
+	// unconfirmedRetryAfter that sent while keys are not confirmed.
 	overQuotaRetryAfter   = time.Second
 	unconfirmedRetryAfter = time.Second
 )
 
-// workspaces bounds the calls of workspaces: it refuses those with a key that may have been taken
-// away, and those over a quota of the whole mesh.
+// workspaces bounds the calls of workspaces: it refuses calls with a key that may have been
+// revoked, and calls over the mesh-wide quota.
 type workspaces struct {
 	n       *Node
 	log     zerolog.Logger
 	limiter *quota.Limiter
 
-	mu        sync.Mutex // guards collector, limited
+	mu        sync.Mutex // guards collector and limited
 	collector *quota.Collector
 	limited   map[string]time.Time // when a workspace was last over its quota
-	// reported holds an element when a node may have begun to tell this one.
+	// reported holds an element after a report has come in.
 	reported chan struct{}
 	quotas   atomic.Pointer[quotas]
 }
 
-// quotas are the limits of one version of the configuration.
+// quotas holds the limits of one version of the configuration.
 type quotas struct {
 	snapshot *config.Snapshot
 	limits   map[string]quota.Limit
@@ -64,7 +65,8 @@
 	}
 }
 
-// assuredSource is a spread that knows for how long the version in force may have been replaced.
+// assuredSource is a source of versions that bounds the age of its last confirmation that the
+// version in force is the newest.
 type assuredSource interface {
 	AssuredAge(now time.Time) (age time.Duration, known bool)
 }
@@ -99,11 +101,11 @@
 	}
 }
 
-// jitterHalf returns a time from half to one and a half of mean, so that callers who were refused
-// together don't come back together.
+// jitterHalf returns a random time between 0.5 and 1.5 times mean, so that callers refused at the
+// same time do not retry at the same time.
 func jitterHalf(mean time.Duration) time.Duration { return mean/2 + rand.N(mean) }
 
-// limits returns the quotas of the configuration in force.
+// limits returns the quotas of the configuration in force, by workspace.
 func (w *workspaces) limits() map[string]quota.Limit {
 	snapshot := w.n.snapshot()
 	if q := w.quotas.Load(); q != nil && q.snapshot == snapshot {
@@ -121,18 +123,17 @@
 	return out
 }
 
-// usageReporter is what the reports of a node go by.
+// usageReporter holds the state of this node's usage reports to collectors.
 type usageReporter struct {
 	w             *workspaces
-	lastCalled    time.Time // when a workspace last had calls
-	lastAnswered  time.Time // when a collector last answered, zero if none has
-	answeredUsage []quota.Usage
-	fallback      bool // no collector has answered for quota.FallbackAfter
+	lastCalled    time.Time     // when a workspace last had calls
+	lastAnswered  time.Time     // when a collector last answered, zero if none has
+	answeredUsage []quota.Usage // of the last report that was answered
+	fallback      bool          // no collector has answered for quota.FallbackAfter
 	lastSent      time.Time
 }
 
-// run tells a collector what calls of workspaces there are, and applies its answers, until ctx
-// ends.
+// run reports the usage of workspaces to a collector and applies its answers, until ctx ends.
 func (w *workspaces) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -144,7 +145,7 @@
 	}
 }
 
-// awaitDue returns when the next report is due.
+// awaitDue waits until the next report is due.
 func (r *usageReporter) awaitDue(ctx context.Context) {
 	var due <-chan time.Time
 	if !r.idle(time.Now()) {
@@ -160,7 +161,7 @@
 	}
 }
 
-// idle reports whether no workspace has had calls for a while.
+// idle reports whether no workspace has had calls for quota.IdleAfter.
 func (r *usageReporter) idle(now time.Time) bool { return now.Sub(r.lastCalled) > quota.IdleAfter }
 
 // reportInterval is the time between two reports of this node.
@@ -174,7 +175,7 @@
 	return max(quota.ReportInterval, time.Duration(nodes)*reportIntervalPerNode)
 }
 
-// report makes one report.
+// report sends one report and applies the answer, or the fallback if no collector answers.
 func (r *usageReporter) report(ctx context.Context) {
 	now := time.Now()
 	sinceReport := now.Sub(r.lastSent)
@@ -194,7 +195,7 @@
 	}
 	if r.fallback {
 		r.fallback = false
-		r.w.log.Info().Msg("workspaces: a collector of the quotas answers again")
+		r.w.log.Info().Msg("workspaces: a quota collector answers again")
 	}
 	r.lastAnswered, r.answeredUsage = time.Now(), usage
 	r.w.limiter.Apply(admissions)
@@ -204,14 +205,16 @@
 	sinceAnswer := now.Sub(r.lastAnswered)
 	if !r.fallback && sinceAnswer >= quota.FallbackAfter {
 		r.fallback = true
-		r.w.log.Warn().Msg("workspaces: no collector of the quotas answers, calls pass by this node's own part")
+		r.w.log.Warn().Msg("workspaces: no quota collector answers, calls are limited to this node's own share")
 	}
 	r.w.limiter.ApplyFallback(quota.Fallback{
-		SinceReport: sinceReport, SinceAnswer: sinceAnswer, Nodes: len(r.w.n.views.Load().Records), Limits: r.w.limits(), LastAnswered: r.answeredUsage,
+		SinceReport: sinceReport, SinceAnswer: sinceAnswer, Nodes: len(r.w.n.views.Load().Records),
+		Limits: r.w.limits(), LastAnswered: r.answeredUsage,
 	})
 }
 
-// reportUsage tells the first feeder of the data centre that answers.
+// reportUsage reports to the first feeder of the data centre that answers, and returns its
+// admissions.
 func (w *workspaces) reportUsage(ctx context.Context, usage []quota.Usage) ([]quota.Admission, bool) {
 	view := w.n.views.Load()
 	for _, id := range distribute.PositionOf(view, w.n.self.ID, w.n.self.DataCentre).Feeders {
@@ -224,7 +227,7 @@
 		if err == nil {
 			return admissions, true
 		}
-		w.log.Debug().Str("peer", id).Err(err).Msg("workspaces: a collector does not answer, ask the next one")
+		w.log.Debug().Str("peer", id).Err(err).Msg("workspaces: a collector does not answer, trying the next one")
 	}
 	return nil, false
 }
@@ -238,7 +241,7 @@
 	return decodeAdmissions(admissions), err
 }
 
-// recordAndDecide takes a report in, and returns what may pass.
+// recordAndDecide adds a report to the collector and returns the resulting admissions.
 func (w *workspaces) recordAndDecide(record func(now time.Time)) []quota.Admission {
 	limits := w.limits()
 	w.mu.Lock()
@@ -254,8 +257,8 @@
 	return admissions
 }
 
-// logLimited tells of workspaces that begin to be over their quota, and of those that have not
-// been for a while. The caller holds w.mu.
+// logLimited logs workspaces that exceed their quota, and those that have been within it for
+// limitedClearAfter. The caller holds w.mu.
 func (w *workspaces) logLimited(now time.Time, admissions []quota.Admission, limits map[string]quota.Limit) {
 	for _, p := range admissions {
 		if _, known := w.limited[p.Workspace]; !known {
@@ -285,7 +288,7 @@
 	}))
 }
 
-// exchangeTotals tells the other collectors what the nodes that tell this one take.
+// exchangeTotals sends the usage totals of the nodes that report here to the other collectors.
 func (w *workspaces) exchangeTotals(ctx context.Context) {
 	for {
 		select {
@@ -301,14 +304,14 @@
 		totals := w.collector.NodeTotals()
 		w.mu.Unlock()
 		if !collecting {
-			continue // others tell this node of sums only
+			continue // only other collectors report to this node
 		}
 		view := w.n.views.Load()
 		var wg sync.WaitGroup
 		for _, id := range w.collectors(view) {
 			wg.Go(func() {
 				if _, err := w.sendUsage(ctx, view.Records[id], totals, true); err != nil {
-					w.log.Debug().Str("peer", id).Err(err).Msg("workspaces: a collector was not told of the sums")
+					w.log.Debug().Str("peer", id).Err(err).Msg("workspaces: a collector did not receive the usage totals")
 				}
 			})
 		}
@@ -316,8 +319,8 @@
 	}
 }
 
-// collectors returns the nodes that may collect: the feeders of this data centre, and the first
-// ones of the others.
+// collectors returns the other nodes that may be collectors: the feeders of this data centre and
+// the first feeders of each of the others.
 func (w *workspaces) collectors(view *membership.View) []string {
 	self := w.n.self
 	out := distribute.FirstFeeders(view, self.ID, self.DataCentre)
--- a/internal/node/workspaces_test.go
+++ b/internal/node/workspaces_test.go
@@ -14,7 +14,7 @@
 
 const yardKey = "yard-key"
 
-// The quota in these tests, and how users count calls against it.
+// The quota in these tests, and the tolerance with which calls are counted against it.
 const (
 	quotaRate    = 40 // a second
 	quotaBurst   = 20
@@ -28,7 +28,7 @@
 	o.Settings.Workspaces.QuotaOverage, o.Settings.Workspaces.QuotaSlack = quotaOverage, quotaSlack
 }
 
-// applyWorkspace puts a version in force on all nodes that has a workspace with one key.
+// applyWorkspace brings a version with a workspace with one key into force on all nodes.
 func (w *testMesh) applyWorkspace() {
 	w.t.Helper()
 	yard := config.Workspace{
@@ -43,7 +43,7 @@
 	}
 }
 
-// callWithKey makes one call with a key and returns the status.
+// callWithKey makes one call with an API key and returns the status.
 func (w *testMesh) callWithKey(vm *localmesh.VM, key string) int {
 	req, err := http.NewRequestWithContext(w.ctx, http.MethodGet, "http://"+vm.Node().Addrs().Callers+lookup, nil)
 	if err != nil {
@@ -60,14 +60,14 @@
 	return resp.StatusCode
 }
 
-// Guards the quota of a mesh of real nodes: of a workspace that sends ten times its quota by three
-// nodes, no window goes over it, and most of it is served. Unknown keys are refused.
-func TestQuotaHoldsOverTheMesh(t *testing.T) {
+// Guards against a workspace that exceeds its mesh-wide quota, or gets far less than it, while it
+// sends ten times the quota through three nodes. Unknown keys are refused.
+func TestQuotaIsEnforcedAcrossTheMesh(t *testing.T) {
 	w := startMesh(t, 3, withQuotas)
 	w.hold(w.VMs[0])
 	w.applyWorkspace()
 	if got := w.callWithKey(w.VMs[1], "other"); got != http.StatusUnauthorized {
-		t.Fatalf("an unknown key is answered %d", got)
+		t.Fatalf("an unknown key gets status %d", got)
 	}
 	var passed, refused atomic.Int64
 	var callers sync.WaitGroup
--- a/internal/node/workspaces_wire.go
+++ b/internal/node/workspaces_wire.go
@@ -29,7 +29,8 @@
 	return out
 }
 
-// rateOf returns a rate that a peer told, or zero for one that is none.
+// rateOf returns a rate reported by a peer, bounded to the valid range; NaN and negative values
+// become zero.
 func rateOf(v float64) float64 {
 	if math.IsNaN(v) || v < 0 {
 		return 0
--- a/internal/node/workspaces_wire_test.go
+++ b/internal/node/workspaces_wire_test.go
@@ -7,9 +7,9 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// Guards against a peer's figures that are no rates: one of them would decide on all calls of a
-// workspace.
-func TestUsageOfPeersIsBounded(t *testing.T) {
+// Guards against invalid rates and ratios from a peer, such as NaN: a single one would determine
+// the admission of all calls of a workspace.
+func TestPeerUsageIsBounded(t *testing.T) {
 	for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 1e300} {
 		u := decodeUsage([]*peerpb.WorkspaceUsage{{Workspace: "w", Recent: v, Usual: v, Admitted: math.MaxUint64}})[0]
 		p := decodeAdmissions([]*peerpb.WorkspacePart{{Workspace: "w", Part: v}})[0]
