--- a/internal/node/conduct.go
+++ b/internal/node/conduct.go
@@ -20,9 +20,9 @@
 const (
 	rolloutLeaseLength   = 3 * time.Second // held by the node that conducts a rollout
 	rolloutRenewInterval = time.Second
-	// rolloutContendInterval bounds the time between two attempts to acquire a lease that another
-	// node holds, and rolloutFirstDelay the time before the first: all feeders receive an order
-	// at the same time.
+	// rolloutContendInterval is the mean time between two attempts to acquire a lease that
+	// another node holds, and rolloutFirstDelay the mean time before the first: all feeders
+	// receive an order at the same time.
 	rolloutContendInterval = 1500 * time.Millisecond
 	rolloutFirstDelay      = 400 * time.Millisecond
 	// instructTimeout bounds a request to a node, and instructConcurrency the number of
@@ -94,7 +94,7 @@
 		if err == nil && (record.Order > o.Revision || record.Order == o.Revision && record.Phase.Final()) {
 			return
 		}
-		held, err := contender.Acquire(ctx)
+		acquired, err := contender.Acquire(ctx)
 		if errors.Is(err, lease.ErrHeld) {
 			continue
 		}
@@ -102,10 +102,10 @@
 			c.log.Warn().Str("service", o.Service).Err(err).Msg("rollout: the lease can't be acquired")
 			continue
 		}
-		r := &leasedRollout{rolloutConductors: c, order: o, lease: held, receivedAt: receivedAt}
-		over := r.conduct(ctx)
-		c.release(held)
-		if over {
+		r := &leasedRollout{rolloutConductors: c, order: o, lease: acquired, receivedAt: receivedAt}
+		done := r.conduct(ctx)
+		c.release(acquired)
+		if done {
 			return
 		}
 	}
@@ -178,15 +178,15 @@
 // elapsed returns the time since the order. The start time that an earlier conductor recorded
 // takes precedence, unless it is inconsistent with this node's clock.
 func (r *leasedRollout) elapsed(now time.Time, record rollout.Record) time.Duration {
-	own := now.Sub(r.receivedAt)
+	sinceReceived := now.Sub(r.receivedAt)
 	if record.Order != r.order.Revision {
-		return own
+		return sinceReceived
 	}
-	noted := now.Sub(time.UnixMilli(record.Started))
-	if noted < own || noted > r.order.Within {
-		return own
+	sinceRecorded := now.Sub(time.UnixMilli(record.Started))
+	if sinceRecorded < sinceReceived || sinceRecorded > r.order.Within {
+		return sinceReceived
 	}
-	return noted
+	return sinceRecorded
 }
 
 func (r *leasedRollout) renew(ctx context.Context, now time.Time) bool {
--- a/internal/node/pickers.go
+++ b/internal/node/pickers.go
@@ -104,14 +104,14 @@
 		old = p.view.Records
 	}
 	for id, r := range v.Records {
-		if was := old[id]; was != r && !sameEndpoints(was, r) {
-			addServices(changed, was)
+		if previous := old[id]; previous != r && !sameEndpoints(previous, r) {
+			addServices(changed, previous)
 			addServices(changed, r)
 		}
 	}
-	for id, was := range old {
+	for id, previous := range old {
 		if v.Records[id] == nil {
-			addServices(changed, was)
+			addServices(changed, previous)
 		}
 	}
 	return changed
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -25,7 +25,7 @@
 	// admissionLag is longer than a call takes from its admission until it counts as in flight.
 	admissionLag = 100 * time.Millisecond
 	// settleTime is how long after its start a node may still discover servers of another
-	// version that were there before.
+	// version that it could not have seen earlier.
 	settleTime = 3 * time.Second
 	// lapseCheckInterval is the time between two checks for expired grants.
 	lapseCheckInterval = 100 * time.Millisecond
@@ -70,7 +70,7 @@
 type serverAdmission struct {
 	rollout.Admission
 	remaining atomic.Int64 // calls left, where the admission is limited
-	// closesAt is until when a server that is no longer open still admits calls.
+	// closesAt is when a server that is no longer open stops admitting calls.
 	closesAt time.Time
 }
 
@@ -164,20 +164,20 @@
 
 // updateAdmission updates the admission of a server. The caller holds r.mu.
 func (r *rollouts) updateAdmission(now time.Time, s *versionedServer) {
-	was := s.admission.Load()
+	previous := s.admission.Load()
 	g := r.guard(s.service)
 	a := r.decideAdmission(now, s, g)
 	s.settled = s.settled || a.Open && now.Sub(r.started) >= settleTime
-	if was != nil && was.Admission == a {
+	if previous != nil && previous.Admission == a {
 		return
 	}
 	next := &serverAdmission{Admission: a}
 	next.remaining.Store(int64(a.Limit))
-	if was != nil && was.Open && !was.Limited && !a.Open && g.Record().Phase == rollout.Draining {
+	if previous != nil && previous.Open && !previous.Limited && !a.Open && g.Record().Phase == rollout.Draining {
 		next.closesAt = now.Add(closeDelay)
 	}
 	s.admission.Store(next)
-	if was == nil && !a.Open || was != nil && (was.Open != a.Open || was.Limited != a.Limited) {
+	if previous == nil && !a.Open || previous != nil && (previous.Open != a.Open || previous.Limited != a.Limited) {
 		r.logChange(s, a, g.Record())
 	}
 }
@@ -190,7 +190,7 @@
 	}
 	met := r.observeVersions(s)
 	a := g.Admit(now, s.version, met)
-	if at, due := g.AskAt(s.version, met); due && !a.Open && !now.Before(at) {
+	if askAt, due := g.AskAt(s.version, met); due && !a.Open && !now.Before(askAt) {
 		r.fetchOrder(s.service)
 	}
 	return a
--- a/internal/node/split.go
+++ b/internal/node/split.go
@@ -52,9 +52,9 @@
 	total := s.cumulative[len(s.cumulative)-1]
 	// Scale the upper 32 bits to the sum of the weights: both are below 2^32, so the product
 	// does not overflow.
-	at := (s.counter.Add(1) * goldenRatio64 >> 32) * total >> 32
+	position := (s.counter.Add(1) * goldenRatio64 >> 32) * total >> 32
 	for i, bound := range s.cumulative {
-		if at < bound {
+		if position < bound {
 			return s.parts[i]
 		}
 	}
--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -78,8 +78,8 @@
 }
 
 // Start implements proxy.Suspects.
-func (s *suspects) Start(now time.Time, b proxy.Backend, fp quarantine.Fingerprint, what quarantine.Request) (quarantine.Token, error) {
-	return s.list.Start(now, fp, b.Instance, what)
+func (s *suspects) Start(now time.Time, b proxy.Backend, fp quarantine.Fingerprint, request quarantine.Request) (quarantine.Token, error) {
+	return s.list.Start(now, fp, b.Instance, request)
 }
 
 // Done implements proxy.Suspects.
@@ -120,10 +120,10 @@
 }
 
 // backendReplaced handles a backend server that announces itself anew under the same instance:
-// its process may have crashed and restarted before a check. was is the state of the previous
-// one; if it was draining, the replacement was planned.
-func (s *suspects) backendReplaced(b proxy.Backend, was membership.BackendState) {
-	evidence := quarantine.Evidence{Broken: true, Restarted: true, Leaving: was == membership.BackendDraining}
+// its process may have crashed and restarted before a check. previousState is the state of the
+// replaced one; if it was draining, the replacement was planned.
+func (s *suspects) backendReplaced(b proxy.Backend, previousState membership.BackendState) {
+	evidence := quarantine.Evidence{Broken: true, Restarted: true, Leaving: previousState == membership.BackendDraining}
 	if !evidence.IsCrash() {
 		return
 	}
--- a/internal/node/workspaces.go
+++ b/internal/node/workspaces.go
@@ -27,9 +27,9 @@
 	// reportIntervalPerNode, times the nodes of the data centre, is the minimum time between two
 	// reports of a node, so that a collector's work does not grow with the mesh.
 	reportIntervalPerNode = 8 * time.Millisecond
-	// limitedClearAfter is the time within its quota after which a workspace is no longer logged
+	// overQuotaClearAfter is the time within its quota after which a workspace is no longer logged
 	// as over it.
-	limitedClearAfter = 3 * time.Second
+	overQuotaClearAfter = 3 * time.Second
 	// overQuotaRetryAfter is the mean retry delay sent to callers over their quota, and
 	// unconfirmedRetryAfter that sent while keys are not confirmed.
 	overQuotaRetryAfter   = time.Second
@@ -43,9 +43,9 @@
 	log     zerolog.Logger
 	limiter *quota.Limiter
 
-	mu        sync.Mutex // guards collector and limited
-	collector *quota.Collector
-	limited   map[string]time.Time // when a workspace was last over its quota
+	mu            sync.Mutex // guards collector and lastOverQuota
+	collector     *quota.Collector
+	lastOverQuota map[string]time.Time // when a workspace was last over its quota
 	// reported holds an element after a report has come in.
 	reported chan struct{}
 	quotas   atomic.Pointer[quotas]
@@ -61,12 +61,12 @@
 	return &workspaces{
 		n: n, log: telemetry.Part(n.log, "workspaces"),
 		limiter: quota.NewLimiter(time.Now()), collector: quota.NewCollector(), reported: make(chan struct{}, 1),
-		limited: make(map[string]time.Time),
+		lastOverQuota: make(map[string]time.Time),
 	}
 }
 
-// assuredSource is a source of versions that bounds the age of its last confirmation that the
-// version in force is the newest.
+// assuredSource is a source of versions that knows how long the version in force may have been
+// outdated.
 type assuredSource interface {
 	AssuredAge(now time.Time) (age time.Duration, known bool)
 }
@@ -253,24 +253,24 @@
 	default:
 	}
 	admissions := w.collector.Decide(now, limits)
-	w.logLimited(now, admissions, limits)
+	w.logOverQuota(now, admissions, limits)
 	return admissions
 }
 
-// logLimited logs workspaces that exceed their quota, and those that have been within it for
-// limitedClearAfter. The caller holds w.mu.
-func (w *workspaces) logLimited(now time.Time, admissions []quota.Admission, limits map[string]quota.Limit) {
+// logOverQuota logs workspaces that exceed their quota, and those that have been within it for
+// overQuotaClearAfter. The caller holds w.mu.
+func (w *workspaces) logOverQuota(now time.Time, admissions []quota.Admission, limits map[string]quota.Limit) {
 	for _, p := range admissions {
-		if _, known := w.limited[p.Workspace]; !known {
+		if _, known := w.lastOverQuota[p.Workspace]; !known {
 			w.log.Info().Str("workspace", p.Workspace).Float64("part", p.Ratio).
 				Float64("asked_per_s", w.collector.DemandRate(p.Workspace)).Float64("limit_per_s", limits[p.Workspace].Rate).
 				Msg("workspaces: a workspace is over its quota")
 		}
-		w.limited[p.Workspace] = now
+		w.lastOverQuota[p.Workspace] = now
 	}
-	for name, at := range w.limited {
-		if now.Sub(at) > limitedClearAfter {
-			delete(w.limited, name)
+	for name, lastOver := range w.lastOverQuota {
+		if now.Sub(lastOver) > overQuotaClearAfter {
+			delete(w.lastOverQuota, name)
 			w.log.Info().Str("workspace", name).Msg("workspaces: a workspace is within its quota again")
 		}
 	}
