--- a/internal/node/conduct.go
+++ b/internal/node/conduct.go
@@ -126,7 +126,7 @@
 	lease      *lease.Lease
 	receivedAt time.Time
 	revision   uint64 // of the record's row
-	conductor  *rollout.Conductor
+	conductor  *rollout.Coordinator
 	finalAt    time.Time // when the verdict was written
 	renewedAt  time.Time
 }
@@ -142,12 +142,12 @@
 		if !r.renew(ctx, now) {
 			return false
 		}
-		r.conductor.See(r.servers())
+		r.conductor.SetServers(r.servers())
 		if next, changed := r.conductor.Step(now); changed && !r.write(ctx, next) {
 			return false
 		}
 		r.sendMessages(ctx, r.conductor.Messages())
-		if !r.finalAt.IsZero() && (r.conductor.Told() || now.Sub(r.finalAt) > verdictRetryTime) {
+		if !r.finalAt.IsZero() && (r.conductor.FinalAcknowledged() || now.Sub(r.finalAt) > verdictRetryTime) {
 			return true
 		}
 		if wait.For(ctx, max(0, r.set.Tick-time.Since(now))) != nil {
@@ -166,9 +166,9 @@
 	}
 	now := time.Now()
 	r.revision = revision
-	r.conductor = rollout.NewConductor(r.set, now, r.order, record, r.lease.Token(), r.elapsed(now, record))
+	r.conductor = rollout.NewCoordinator(r.set, now, r.order, record, r.lease.Token(), r.elapsed(now, record))
 	r.log.Info().Str("service", r.order.Service).Str("target", r.order.Target).Uint64("token", r.lease.Token()).
-		Str("phase", string(r.conductor.Record().Phase)).Dur("left", r.conductor.Left(now)).Msg("rollout: this node conducts it")
+		Str("phase", string(r.conductor.Record().Phase)).Dur("left", r.conductor.TimeLeft(now)).Msg("rollout: this node conducts it")
 	if record.Order == r.order.Revision {
 		return true
 	}
@@ -183,7 +183,7 @@
 		return sinceReceived
 	}
 	sinceRecorded := now.Sub(time.UnixMilli(record.Started))
-	if sinceRecorded < sinceReceived || sinceRecorded > r.order.Within {
+	if sinceRecorded < sinceReceived || sinceRecorded > r.order.TimeLimit {
 		return sinceReceived
 	}
 	return sinceRecorded
@@ -211,7 +211,7 @@
 func (r *leasedRollout) write(ctx context.Context, record rollout.Record) bool {
 	ctx, cancel := context.WithTimeout(ctx, rolloutReadTimeout)
 	defer cancel()
-	key := rollout.Key(r.order.Service)
+	key := rollout.RecordKey(r.order.Service)
 	err := r.n.control.table.Commit(ctx, platform.Txn{
 		Conditions: []platform.Condition{r.lease.Condition(), {Key: key, Revision: r.revision}},
 		Writes: []platform.Write{
@@ -223,11 +223,11 @@
 		err = r.readBack(ctx, record)
 	}
 	r.log.Info().Str("service", r.order.Service).Str("target", record.Target).Str("phase", string(record.Phase)).
-		Str("reason", record.Reason).Dur("left", r.conductor.Left(time.Now())).Err(err).Msg("rollout: step")
+		Str("reason", record.Reason).Dur("left", r.conductor.TimeLeft(time.Now())).Err(err).Msg("rollout: step")
 	if err != nil {
 		return false
 	}
-	r.conductor.Wrote(record)
+	r.conductor.RecordWritten(record)
 	if record.Phase.Final() {
 		r.finalAt = time.Now()
 	}
@@ -289,14 +289,14 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			r.conductor.Answered(time.Now(), m.VM, answers)
+			r.conductor.RecordReports(time.Now(), m.VM, answers)
 		})
 	}
 	wg.Wait()
 }
 
 // instruct sends an instruction to the node of a VM, which may be this node.
-func (r *leasedRollout) instruct(ctx context.Context, to *membership.ObservedRecord, m rollout.Message) ([]rollout.Answer, error) {
+func (r *leasedRollout) instruct(ctx context.Context, to *membership.ObservedRecord, m rollout.Message) ([]rollout.ServerReport, error) {
 	q := encodeInstruction(m.Instruction)
 	if m.VM == r.n.self.ID {
 		return decodeAnswers(m.VM, r.n.rollouts.Instruct(q)), nil
--- a/internal/node/dedup.go
+++ b/internal/node/dedup.go
@@ -7,16 +7,16 @@
 	"github.com/marlpass/marlpass/internal/proxy"
 )
 
-// dedupAdapter adapts once.Keeper to proxy.Keeper.
-type dedupAdapter struct{ k *once.Keeper }
+// dedupAdapter adapts once.Deduplicator to proxy.Keeper.
+type dedupAdapter struct{ k *once.Deduplicator }
 
-// Begin implements proxy.Keeper.
+// Begin implements proxy.Deduplicator.
 func (k dedupAdapter) Begin(ctx context.Context, c proxy.KeyedCall) (proxy.Claim, *proxy.Stored, error) {
 	b, err := k.k.Begin(ctx, once.Request{
 		Service:     c.Target.Service,
 		Key:         c.Key,
 		Fingerprint: c.Fingerprint,
-		Rule:        c.Target.StoreDownRule(),
+		StoreDown:   c.Target.StoreDownRule(),
 		Deadline:    c.Deadline,
 	})
 	switch {
@@ -30,7 +30,7 @@
 	return claimAdapter{b.Run}, nil, nil
 }
 
-func proxyStored(s *once.Stored) *proxy.Stored {
+func proxyStored(s *once.StoredOutcome) *proxy.Stored {
 	return &proxy.Stored{Status: s.Status, Header: s.Header, Body: s.Body, TooLarge: s.Truncated}
 }
 
@@ -41,7 +41,7 @@
 func (c claimAdapter) Started(ctx context.Context) error { return c.c.Started(ctx) }
 
 func (c claimAdapter) Finish(ctx context.Context, s proxy.Stored) {
-	_ = c.c.Finish(ctx, once.Stored{Status: s.Status, Header: s.Header, Body: s.Body, Truncated: s.TooLarge})
+	_ = c.c.Finish(ctx, once.StoredOutcome{Status: s.Status, Header: s.Header, Body: s.Body, Truncated: s.TooLarge})
 }
 
 func (c claimAdapter) Abandon(ctx context.Context) { _ = c.c.Abandon(ctx) }
--- a/internal/node/metrics_calls.go
+++ b/internal/node/metrics_calls.go
@@ -15,10 +15,10 @@
 	for _, t := range c.meters.Totals() {
 		writeClass(p, &t)
 	}
-	c.meters.PartTimes(func(service string, part proxy.Part, h proxy.Histogram) {
+	c.meters.LatencyParts(func(service string, part proxy.LatencyPart, h proxy.Histogram) {
 		writeHistogram(p, "marlpass_call_part_seconds", h, "service", service, "part", string(part))
 	})
-	c.entry.FreeShares(func(service string, share float64) {
+	c.entry.FreeSlotShares(func(service string, share float64) {
 		p.gauge("marlpass_call_free_slot_ratio", share, "service", service)
 	})
 	c.retries.eachBudget(func(service string, left float64) {
@@ -55,8 +55,8 @@
 func writeHistogram(p page, name string, h proxy.Histogram, l ...string) {
 	for _, b := range h.Buckets {
 		le := "+Inf"
-		if !math.IsInf(b.Within, 1) {
-			le = strconv.FormatFloat(b.Within, 'g', -1, 64)
+		if !math.IsInf(b.UpperBound, 1) {
+			le = strconv.FormatFloat(b.UpperBound, 'g', -1, 64)
 		}
 		p.counter(name+"_bucket", b.Calls, append(slices.Clip(l), "le", le)...)
 	}
@@ -92,10 +92,10 @@
 	p.counter("marlpass_once_unknowns_total", s.Unknowns)
 	p.counter("marlpass_once_joins_total", s.Joins)
 	p.counter("marlpass_once_refused_total", s.Refused)
-	p.counter("marlpass_once_guards_total", s.Guards)
+	p.counter("marlpass_once_guards_total", s.LocalGuards)
 	p.counter("marlpass_once_unstored_total", s.Unstored)
 	p.counter("marlpass_once_platform_writes_total", s.Writes)
-	p.gauge("marlpass_once_guards_held", float64(s.GuardsHeld))
+	p.gauge("marlpass_once_guards_held", float64(s.LocalKeys))
 }
 
 // writeRegistry writes the backend servers of this VM, and the endpoints of each service in the
--- a/internal/node/policies.go
+++ b/internal/node/policies.go
@@ -33,12 +33,12 @@
 }
 
 // destinationParts returns parts with these policies applied.
-func (p Policies) destinationParts(parts proxy.DestinationParts) proxy.DestinationParts {
+func (p Policies) destinationParts(parts proxy.DestinationOptions) proxy.DestinationOptions {
 	if p.FixedLimit {
 		parts.Gates = new(proxy.FixedLimit)
 	}
 	if p.NoDeduplication {
-		parts.Keeper = nil
+		parts.Deduplicator = nil
 	}
 	if p.NoQuarantine {
 		parts.Suspects = nil
@@ -47,7 +47,7 @@
 }
 
 // entryParts returns parts with these policies applied.
-func (p Policies) entryParts(parts proxy.EntryParts, own *pickers) proxy.EntryParts {
+func (p Policies) entryParts(parts proxy.EntryOptions, own *pickers) proxy.EntryOptions {
 	if p.RoundRobin {
 		own.roundRobin = new(proxy.RoundRobin)
 		parts.Pickers = own.roundRobin
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -39,14 +39,14 @@
 )
 
 // rollouts decides which calls the backend servers of this VM admit while their service's calls
-// move to another version. It adapts rollout.Guard to proxy.Rollouts.
+// move to another version. It adapts rollout.AdmissionController to proxy.Rollouts.
 type rollouts struct {
 	n       *Node
 	log     zerolog.Logger
 	started time.Time
 
-	mu       sync.Mutex // guards the guards and all fields of the servers that calls do not use
-	guards   map[string]*rollout.Guard
+	mu       sync.Mutex // guards controllers and all fields of the servers that calls do not use
+	guards   map[string]*rollout.AdmissionController
 	fetching map[string]bool // services whose order is being fetched
 
 	servers atomic.Pointer[map[string]*versionedServer] // by instance
@@ -85,7 +85,7 @@
 func newRollouts(n *Node) *rollouts {
 	r := &rollouts{
 		n: n, log: telemetry.Part(n.log, "rollout"), started: time.Now(),
-		guards: make(map[string]*rollout.Guard), fetching: make(map[string]bool),
+		guards: make(map[string]*rollout.AdmissionController), fetching: make(map[string]bool),
 		wake: make(chan struct{}, 1),
 	}
 	r.servers.Store(&map[string]*versionedServer{})
@@ -183,14 +183,14 @@
 }
 
 // decideAdmission returns the admission of a server, and fetches the order from the table where
-// the guard needs it to decide.
-func (r *rollouts) decideAdmission(now time.Time, s *versionedServer, g *rollout.Guard) rollout.Admission {
+// the admission controller needs it to decide.
+func (r *rollouts) decideAdmission(now time.Time, s *versionedServer, g *rollout.AdmissionController) rollout.Admission {
 	if r.n.o.Orders == nil {
 		return rollout.Admission{Open: true}
 	}
 	met := r.observeVersions(s)
 	a := g.Admit(now, s.version, met)
-	if askAt, due := g.AskAt(s.version, met); due && !a.Open && !now.Before(askAt) {
+	if readAt, due := g.NextTableRead(s.version, met); due && !a.Open && !now.Before(readAt) {
 		r.fetchOrder(s.service)
 	}
 	return a
@@ -201,10 +201,10 @@
 		Str("target", record.Target).Str("phase", string(record.Phase)).Msg("rollout: what a backend server takes has changed")
 }
 
-func (r *rollouts) guard(service string) *rollout.Guard {
+func (r *rollouts) guard(service string) *rollout.AdmissionController {
 	g := r.guards[service]
 	if g == nil {
-		g = new(rollout.Guard)
+		g = new(rollout.AdmissionController)
 		r.guards[service] = g
 	}
 	return g
@@ -212,8 +212,8 @@
 
 // observeVersions looks for servers of other versions in the view. A server that took calls
 // before they appeared is of the version that they replace.
-func (r *rollouts) observeVersions(s *versionedServer) rollout.Met {
-	m := rollout.Met{Since: s.firstSeen}
+func (r *rollouts) observeVersions(s *versionedServer) rollout.OtherVersions {
+	m := rollout.OtherVersions{FirstSeen: s.firstSeen}
 	if s.settled || s.version == "" {
 		return m
 	}
@@ -224,8 +224,8 @@
 		}
 		for _, b := range record.Backends {
 			if b.Service == s.service && b.Version != "" && b.Version != s.version {
-				m.Others = true
-				m.OthersReady = m.OthersReady || b.State == membership.BackendReady
+				m.Present = true
+				m.Ready = m.Ready || b.State == membership.BackendReady
 			}
 		}
 	}
@@ -288,7 +288,7 @@
 			r.log.Warn().Str("service", service).Err(err).Msg("rollout: the order is not known")
 			return
 		}
-		r.guard(service).Learn(time.Now(), order, record)
+		r.guard(service).ApplyTable(time.Now(), order, record)
 		r.requestUpdate()
 	}()
 }
@@ -306,7 +306,7 @@
 // loadRecord reads the rollout record of a service and the revision of its row. Without a row
 // the record is empty and the revision is platform.Absent.
 func loadRecord(ctx context.Context, table platform.Table, service string) (rollout.Record, uint64, error) {
-	row, err := table.Get(ctx, rollout.Key(service))
+	row, err := table.Get(ctx, rollout.RecordKey(service))
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
 		return rollout.Record{}, platform.Absent, nil
--- a/internal/proxy/destination_admit.go
+++ b/internal/proxy/destination_admit.go
@@ -13,22 +13,22 @@
 	"github.com/marlpass/marlpass/internal/quarantine"
 )
 
-// check refuses what can be refused without waiting.
-func (d *Destination) check(now time.Time, in *inbound) (Backend, *config.Target, *call.Refusal) {
-	var none Backend
+// admit returns the backend server and class of a call, or a refusal that needs no waiting.
+func (d *Destination) admit(now time.Time, in *inbound) (Backend, *config.Target, *call.Refusal) {
+	var noBackend Backend
 	if d.draining.Load() {
-		return none, nil, refuse(call.ReasonDraining, 0, "")
+		return noBackend, nil, refuse(call.ReasonDraining, 0, "")
 	}
 	b, ok := d.Backends.Find(in.hop.service, in.hop.instance)
 	switch {
 	case !ok:
-		return none, nil, refuse(call.ReasonNotHeld, 0, in.hop.service)
+		return noBackend, nil, refuse(call.ReasonNotHeld, 0, in.hop.service)
 	case b.State == membership.BackendDraining:
-		return none, nil, refuse(call.ReasonDraining, 0, "")
+		return noBackend, nil, refuse(call.ReasonDraining, 0, "")
 	case b.State != membership.BackendReady:
-		return none, nil, refuse(call.ReasonNotReady, 0, "")
+		return noBackend, nil, refuse(call.ReasonNotReady, 0, "")
 	case !now.Before(in.deadline):
-		return none, nil, refuse(call.ReasonExpired, 0, "")
+		return noBackend, nil, refuse(call.ReasonExpired, 0, "")
 	}
 	if d.Rollouts != nil {
 		if refusal := d.Rollouts.Admit(now, b.Instance); refusal != nil {
@@ -38,9 +38,8 @@
 	return b, d.target(in.hop), nil
 }
 
-// target finds the class here. A node may be a version behind the one that
-// matched the call and not know its class yet: the call then runs by the
-// strictest rules, as not idempotent and with the default priority.
+// target returns the class of a call. A node that is a version behind the entry node may not have
+// the class yet. It then applies the strictest rules: not idempotent, default priority.
 func (d *Destination) target(h hop) *config.Target {
 	if t := d.Programs.Program().Targets.Target(h.class, h.service); t != nil {
 		return t
@@ -48,19 +47,20 @@
 	return &config.Target{Name: h.class, Service: h.service}
 }
 
-// enter waits for a slot and asks whether the request is suspected.
-func (d *Destination) enter(ctx context.Context, now time.Time, in *inbound, h *holding) (*call.Refusal, error) {
+// acquire waits for a slot, and refuses a suspect that is quarantined or pinned to another
+// endpoint.
+func (d *Destination) acquire(ctx context.Context, now time.Time, in *inbound, h *execution) (*call.Refusal, error) {
 	if d.Gates != nil {
-		times := limit.AcquireOptions{
-			FirstAttempt: now.Add(-in.hop.waited), OneShot: in.hop.once, NoWait: in.hop.noWait,
-			Deadline: startBy(now, in.deadline), Caller: d.caller(in.header),
+		options := limit.AcquireOptions{
+			FirstAttempt: now.Add(-in.hop.waited), OneShot: in.hop.oneShot, NoWait: in.hop.noWait,
+			Deadline: latestStart(now, in.deadline), Caller: d.caller(in.header),
 		}
-		permit, err := d.Gates.Acquire(ctx, h.backend, h.target, times)
+		permit, err := d.Gates.Acquire(ctx, h.backend, h.target, options)
 		if err != nil {
 			return asRefusal(err)
 		}
 		h.permit = permit
-		d.logWait(now, in, h)
+		d.logSlotWait(now, in, h)
 	}
 	if d.Suspects != nil {
 		fp := fingerprintOf(in.r, in.header, in.body)
@@ -69,18 +69,19 @@
 				return r, nil
 			}
 		}
-		what := quarantine.Request{Method: in.r.Method, Host: in.r.Host, Path: in.r.URL.Path}
-		mark, err := d.Suspects.Start(now, h.backend, fp, what)
+		request := quarantine.Request{Method: in.r.Method, Host: in.r.Host, Path: in.r.URL.Path}
+		suspectToken, err := d.Suspects.Start(now, h.backend, fp, request)
 		if err != nil {
 			return asRefusal(err)
 		}
-		h.mark, h.marked = mark, true
+		h.suspectToken, h.suspectStarted = suspectToken, true
 	}
 	return nil, nil
 }
 
-// caller returns on whose behalf a call is made, as its entry node found by its key. A node may be
-// a version behind and not know the workspace yet: its calls then have the priority of their class.
+// caller returns the workspace that the entry node derived from the caller's key, and its priority.
+// A node that is a version behind may not have the workspace yet; its calls then have the priority
+// of their class.
 func (d *Destination) caller(h http.Header) limit.Caller {
 	keys := d.Programs.Program().Keys
 	if keys == nil {
@@ -93,24 +94,23 @@
 	return limit.Caller{Workspace: name}
 }
 
-// Bounds on the time that is set aside for a refusal to reach the entry node.
+// Bounds on the time reserved for a refusal to reach the entry node before the deadline.
 const (
-	maxWordTime  = 20 * time.Millisecond
-	wordTimePart = 8 // of the time left
+	maxRefusalMargin     = 20 * time.Millisecond
+	refusalMarginDivisor = 8 // divides the remaining time
 )
 
-// startBy returns the moment after which a call is not started any more.
+// latestStart returns the time after which a call is no longer started.
 //
-// It guards against "may have run" for a call that never ran. If a call could
-// wait for its slot until its deadline, the refusal would leave this node in the
-// moment in which the entry node, whose own bound has passed, breaks the
-// connection off. A booking's caller would be told that nobody knows, and could
-// not send it again. A call that starts so late would not be answered in time.
-func startBy(now, deadline time.Time) time.Time {
-	return deadline.Add(-min(maxWordTime, deadline.Sub(now)/wordTimePart))
+// It guards against "may have run" for a call that never ran. If a call could wait for its slot
+// until its deadline, the refusal would leave this node just as the entry node's own timeout closes
+// the connection. The caller of a booking would then get an unknown outcome and could not retry
+// safely. A call that starts that late would miss its deadline anyway.
+func latestStart(now, deadline time.Time) time.Time {
+	return deadline.Add(-min(maxRefusalMargin, deadline.Sub(now)/refusalMarginDivisor))
 }
 
-// asRefusal returns the refusal that err is, or err.
+// asRefusal returns err as a refusal if it is one, and as an error otherwise.
 func asRefusal(err error) (*call.Refusal, error) {
 	var r *call.Refusal
 	if errors.As(err, &r) {
--- a/internal/proxy/entry_answer.go
+++ b/internal/proxy/entry_answer.go
@@ -11,10 +11,10 @@
 )
 
 // answer passes the answer on and reports it.
-func (e *Entry) answer(w http.ResponseWriter, c *entering, choice Choice, a *answer, sent time.Time) {
+func (e *Entry) answer(w http.ResponseWriter, c *entryCall, choice Choice, a *answer, sent time.Time) {
 	first := e.Now().Sub(sent)
 	endpoint := choice.Endpoint().ID // the choice is used again after Done
-	p := passed{partial: true}       // should relay panic
+	p := relayResult{partial: true}  // should relay panic
 	defer func() {
 		now := e.Now()
 		rep := report(a, first)
@@ -22,20 +22,20 @@
 		rep.Bytes = p.bytes
 		choice.Done(now, rep)
 		c.class.Answered(now, now.Sub(c.start), rep.Failed)
-		e.Meters.parts.add(c.target.Service, now.Sub(c.start), a.took)
+		e.Meters.latencyParts.add(c.target.Service, now.Sub(c.start), a.took)
 		e.logAnswer(now, c, endpoint, a, p)
 		if e.Suspects != nil && !p.partial {
 			e.Suspects.Answered(now, c.fp)
 		}
 	}()
-	c.body.answering(c.r, w.Header())
+	c.body.closeUnlessRead(c.r, w.Header())
 	if a.held != nil {
-		p = e.Local.pass(w, a)
+		p = e.Local.relayAnswer(w, a)
 	} else {
 		p = relay(w, a.resp, nil)
 		a.resp.Body.Close()
 	}
-	if p.partial || p.gone {
+	if p.partial || p.readerGone {
 		c.body.abort()
 	}
 }
@@ -44,21 +44,21 @@
 // may have run. An idempotent call is sent again after such an attempt; when
 // the next one is refused, that refusal speaks for the attempt alone, and a
 // caller told "not run" would believe it of the call.
-func (e *Entry) refuse(w http.ResponseWriter, c *entering, r *call.Refusal) {
-	if c.lost != nil {
+func (e *Entry) refuse(w http.ResponseWriter, c *entryCall, r *call.Refusal) {
+	if c.unknownErr != nil {
 		e.unknown(w, c)
 		return
 	}
-	e.giveBack(c)
+	e.refund(c)
 	if c.class != nil {
 		c.class.Refused(e.Now(), r.Reason)
 	} else {
-		e.Meters.Unmatched(r.Reason)
+		e.Meters.RefusedUnmatched(r.Reason)
 	}
 	e.logRefusal(c, r)
-	e.returns.refused(e.Now(), c, r.RetryAfter)
-	c.body.answering(c.r, w.Header())
-	writeRefused(w, r, e.Dialect)
+	e.returning.recordRefusal(e.Now(), c, r.RetryAfter)
+	c.body.closeUnlessRead(c.r, w.Header())
+	writeCallerRefusal(w, r, e.Dialect)
 }
 
 var finalValue = []string{"1"}
@@ -66,7 +66,7 @@
 // giveUp tells the caller what is known of the last attempt, and when to come
 // back. A backend server that is told so for a call of its own can pass the
 // mark on with its refusal, and no node further up will retry in vain.
-func (e *Entry) giveUp(w http.ResponseWriter, c *entering, a *answer, d retry.Decision) {
+func (e *Entry) giveUp(w http.ResponseWriter, c *entryCall, a *answer, d retry.Decision) {
 	w.Header()[retry.HeaderFinal] = finalValue
 	if a.refusal != nil {
 		r := *a.refusal
@@ -78,17 +78,17 @@
 }
 
 // unknown tells the caller that its call may have run.
-func (e *Entry) unknown(w http.ResponseWriter, c *entering) {
+func (e *Entry) unknown(w http.ResponseWriter, c *entryCall) {
 	now := e.Now()
-	if kindOf(c.lost) == unknownStore {
+	if unknownKindOf(c.unknownErr) == unknownStoreDown {
 		// The sending itself was refused; it is no failed answer.
 		c.class.Refused(now, call.ReasonStoreDown)
 	} else {
 		c.class.Answered(now, now.Sub(c.start), true)
 	}
 	e.logUnknown(now, c)
-	c.body.answering(c.r, w.Header())
-	writeUnknown(w, c.lost)
+	c.body.closeUnlessRead(c.r, w.Header())
+	writeUnknown(w, c.unknownErr)
 }
 
 // report tells the picker how an attempt went.
@@ -97,7 +97,7 @@
 	switch {
 	case a.refusal != nil:
 		r.Refused = a.refusal.Reason
-	case a.err != nil && ofKey(kindOf(a.err)):
+	case a.err != nil && isEarlierSending(unknownKindOf(a.err)):
 		// It is the key's earlier sending that may have run. This attempt
 		// reached no backend server, and a client that sends one lost key
 		// over and over must not make its endpoint look like a failing one.
@@ -105,7 +105,7 @@
 	case errors.Is(a.err, context.Canceled):
 		// The caller left, which says nothing of the endpoint. Counted as
 		// failures, impatient callers would have its healthy endpoints ejected.
-		r.Left = true
+		r.Cancelled = true
 	case a.err != nil:
 		r.Failed = true
 	default:
--- a/internal/proxy/look_test.go
+++ b/internal/proxy/look_test.go
@@ -16,8 +16,8 @@
 // lookingPicks picks in turn, also for calls that look.
 type lookingPicks struct{ *RoundRobin }
 
-func (p lookingPicks) Pick(now time.Time, t *config.Target, a Ask) (Choice, error) {
-	return p.RoundRobin.Pick(now, t, Ask{Tried: a.Tried})
+func (p lookingPicks) Pick(now time.Time, t *config.Target, a PickInfo) (Choice, error) {
+	return p.RoundRobin.Pick(now, t, PickInfo{Tried: a.Tried})
 }
 
 // fullGate has no free slot for calls that are not to wait, and one for the others.
@@ -46,7 +46,7 @@
 		retried = r.Header["Marlpass-Retried"]
 		io.WriteString(w, "ok")
 	})
-	m.entry.Pickers = lookingPicks{m.picks}
+	m.entry.Pickers = lookingPicks{m.picker}
 	m.entry.Retrier = RetryUpTo(1)
 	full := new(fullGate)
 	m.dest[0].Gates = full
@@ -69,10 +69,10 @@
 // they find so and look again.
 func TestCallsStopLookingWhereAllIsFull(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	m.entry.Pickers = lookingPicks{m.picks}
+	m.entry.Pickers = lookingPicks{m.picker}
 	full := new(fullGate)
 	m.dest[0].Gates, m.dest[1].Gates = full, full
-	free := m.entry.free.of(testService)
+	free := m.entry.freeSlots.of(testService)
 	calls := 0
 	book := func() {
 		calls++
@@ -84,7 +84,7 @@
 	if full.looked != 2 || full.waited != 1 {
 		t.Errorf("the first call looked %d times and waited %d times", full.looked, full.waited)
 	}
-	for free.load() >= nearLeast {
+	for free.load() >= minDataCentreShare {
 		free.add(false)
 	}
 	before := full.looked
@@ -93,7 +93,7 @@
 		t.Error("a call looks where hardly any slot was free")
 	}
 	// The calls that don't look are served at once: slots are free again.
-	for free.load() < nearLeast {
+	for free.load() < minDataCentreShare {
 		book()
 	}
 	book()
@@ -106,7 +106,7 @@
 // would write one for each endpoint. It must not look.
 func TestKeyedCallDoesNotLook(t *testing.T) {
 	m := newMesh(t, bookings(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	m.entry.Pickers = lookingPicks{m.picks}
+	m.entry.Pickers = lookingPicks{m.picker}
 	full := new(fullGate)
 	m.dest[0].Gates, m.dest[1].Gates = full, full
 	if resp, _, err := m.call("POST", "/book", "slip 3", call.HeaderKey, "k1"); err != nil || resp.StatusCode != http.StatusOK {
