--- a/internal/node/callpath.go
+++ b/internal/node/callpath.go
@@ -70,13 +70,13 @@
 	tracer := proxy.NewTracer(provider)
 	programs := programs{n.store}
 	link := proxy.NewLinkPacer(n.set.VM.LinkMbps)
-	c.dest = proxy.NewDestination(n.o.Policies.destinationParts(proxy.DestinationOptions{
+	c.dest = proxy.NewDestination(n.o.Policies.destinationOptions(proxy.DestinationOptions{
 		Programs: programs, Backends: backends{n.registry}, Gates: c.gates, SlotUse: c.gates.slotUse,
 		Deduplicator: dedupAdapter{c.dedup}, Suspects: c.suspects, Rollouts: n.rollouts, Upstreams: c.upstreams, Tracer: tracer,
 		Dialect: n.o.Dialect, Decisions: c.decisions,
 		Spool: n.spool(), Link: link,
 	}))
-	c.entry = proxy.NewEntry(n.o.Policies.entryParts(proxy.EntryOptions{
+	c.entry = proxy.NewEntry(n.o.Policies.entryOptions(proxy.EntryOptions{
 		Self: n.self.ID, Programs: programs, Readiness: n.start, Admitter: nodeAdmitter{c}, Pickers: c.pickers,
 		Retrier: c.retries, Suspects: c.suspects, Workspaces: n.workspaces, Local: c.dest, Upstreams: c.nodes,
 		Meters: c.meters, Tracer: tracer, Dialect: n.o.Dialect,
--- a/internal/node/conduct.go
+++ b/internal/node/coordinate.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	rolloutLeaseLength   = 3 * time.Second // held by the node that conducts a rollout
+	rolloutLeaseLength   = 3 * time.Second // held by the node that coordinates a rollout
 	rolloutRenewInterval = time.Second
 	// rolloutContendInterval is the mean time between two attempts to acquire a lease that
 	// another node holds, and rolloutFirstDelay the mean time before the first: all feeders
@@ -34,21 +34,21 @@
 	verdictRetryTime = 8 * time.Second
 )
 
-// rolloutConductors conducts the rollouts that operators order. It runs at the nodes that read the
-// orders; for each rollout one of them holds a lease.
-type rolloutConductors struct {
+// rolloutCoordinators coordinates the rollouts that operators order. It runs at the nodes that
+// read the orders; for each rollout one of them holds a lease.
+type rolloutCoordinators struct {
 	n   *Node
 	log zerolog.Logger
 	set rollout.Settings
 }
 
-func newRolloutConductors(n *Node) *rolloutConductors {
-	return &rolloutConductors{n: n, log: telemetry.Part(n.log, "rollout"), set: rollout.Defaults()}
+func newRolloutCoordinators(n *Node) *rolloutCoordinators {
+	return &rolloutCoordinators{n: n, log: telemetry.Part(n.log, "rollout"), set: rollout.Defaults()}
 }
 
-// run starts a conductor for each order received, until ctx ends. A newer order for a service
-// stops the conductor of the previous one.
-func (c *rolloutConductors) run(ctx context.Context) {
+// run starts a coordinator for each order received, until ctx ends. A newer order for a service
+// stops the coordinator of the previous one.
+func (c *rolloutCoordinators) run(ctx context.Context) {
 	if c.n.o.Orders == nil {
 		<-ctx.Done()
 		return
@@ -77,9 +77,9 @@
 	}
 }
 
-// contend tries to acquire the lease on a rollout, and conducts it while it holds the lease,
+// contend tries to acquire the lease on a rollout, and coordinates it while it holds the lease,
 // until the rollout is over.
-func (c *rolloutConductors) contend(ctx context.Context, o rollout.Order, receivedAt time.Time) {
+func (c *rolloutCoordinators) contend(ctx context.Context, o rollout.Order, receivedAt time.Time) {
 	if err := o.Check(); err != nil {
 		c.log.Error().Str("service", o.Service).Err(err).Msg("rollout: invalid order")
 		return
@@ -102,8 +102,8 @@
 			c.log.Warn().Str("service", o.Service).Err(err).Msg("rollout: the lease can't be acquired")
 			continue
 		}
-		r := &leasedRollout{rolloutConductors: c, order: o, lease: acquired, receivedAt: receivedAt}
-		done := r.conduct(ctx)
+		r := &leasedRollout{rolloutCoordinators: c, order: o, lease: acquired, receivedAt: receivedAt}
+		done := r.coordinate(ctx)
 		c.release(acquired)
 		if done {
 			return
@@ -111,7 +111,7 @@
 	}
 }
 
-func (c *rolloutConductors) release(l *lease.Lease) {
+func (c *rolloutCoordinators) release(l *lease.Lease) {
 	ctx, cancel := context.WithTimeout(context.Background(), instructTimeout)
 	defer cancel()
 	if err := l.Release(ctx); err != nil {
@@ -119,21 +119,21 @@
 	}
 }
 
-// leasedRollout is a rollout that this node conducts under its lease.
+// leasedRollout is a rollout that this node coordinates under its lease.
 type leasedRollout struct {
-	*rolloutConductors
-	order      rollout.Order
-	lease      *lease.Lease
-	receivedAt time.Time
-	revision   uint64 // of the record's row
-	conductor  *rollout.Coordinator
-	finalAt    time.Time // when the verdict was written
-	renewedAt  time.Time
+	*rolloutCoordinators
+	order       rollout.Order
+	lease       *lease.Lease
+	receivedAt  time.Time
+	revision    uint64 // of the record's row
+	coordinator *rollout.Coordinator
+	finalAt     time.Time // when the verdict was written
+	renewedAt   time.Time
 }
 
-// conduct runs the rollout until it is over or the lease is lost, and reports whether it is
+// coordinate runs the rollout until it is over or the lease is lost, and reports whether it is
 // over.
-func (r *leasedRollout) conduct(ctx context.Context) bool {
+func (r *leasedRollout) coordinate(ctx context.Context) bool {
 	if !r.resume(ctx) {
 		return false
 	}
@@ -142,12 +142,12 @@
 		if !r.renew(ctx, now) {
 			return false
 		}
-		r.conductor.SetServers(r.servers())
-		if next, changed := r.conductor.Step(now); changed && !r.write(ctx, next) {
+		r.coordinator.SetServers(r.servers())
+		if next, changed := r.coordinator.Step(now); changed && !r.write(ctx, next) {
 			return false
 		}
-		r.sendMessages(ctx, r.conductor.Messages())
-		if !r.finalAt.IsZero() && (r.conductor.FinalAcknowledged() || now.Sub(r.finalAt) > verdictRetryTime) {
+		r.sendMessages(ctx, r.coordinator.Messages())
+		if !r.finalAt.IsZero() && (r.coordinator.FinalAcknowledged() || now.Sub(r.finalAt) > verdictRetryTime) {
 			return true
 		}
 		if wait.For(ctx, max(0, r.set.Tick-time.Since(now))) != nil {
@@ -166,16 +166,16 @@
 	}
 	now := time.Now()
 	r.revision = revision
-	r.conductor = rollout.NewCoordinator(r.set, now, r.order, record, r.lease.Token(), r.elapsed(now, record))
+	r.coordinator = rollout.NewCoordinator(r.set, now, r.order, record, r.lease.Token(), r.elapsed(now, record))
 	r.log.Info().Str("service", r.order.Service).Str("target", r.order.Target).Uint64("token", r.lease.Token()).
-		Str("phase", string(r.conductor.Record().Phase)).Dur("left", r.conductor.TimeLeft(now)).Msg("rollout: this node conducts it")
+		Str("phase", string(r.coordinator.Record().Phase)).Dur("left", r.coordinator.TimeLeft(now)).Msg("rollout: this node conducts it")
 	if record.Order == r.order.Revision {
 		return true
 	}
-	return r.write(ctx, r.conductor.Record())
+	return r.write(ctx, r.coordinator.Record())
 }
 
-// elapsed returns the time since the order. The start time that an earlier conductor recorded
+// elapsed returns the time since the order. The start time that an earlier coordinator recorded
 // takes precedence, unless it is inconsistent with this node's clock.
 func (r *leasedRollout) elapsed(now time.Time, record rollout.Record) time.Duration {
 	sinceReceived := now.Sub(r.receivedAt)
@@ -223,11 +223,11 @@
 		err = r.readBack(ctx, record)
 	}
 	r.log.Info().Str("service", r.order.Service).Str("target", record.Target).Str("phase", string(record.Phase)).
-		Str("reason", record.Reason).Dur("left", r.conductor.TimeLeft(time.Now())).Err(err).Msg("rollout: step")
+		Str("reason", record.Reason).Dur("left", r.coordinator.TimeLeft(time.Now())).Err(err).Msg("rollout: step")
 	if err != nil {
 		return false
 	}
-	r.conductor.RecordWritten(record)
+	r.coordinator.RecordWritten(record)
 	if record.Phase.Final() {
 		r.finalAt = time.Now()
 	}
@@ -268,7 +268,7 @@
 	return out
 }
 
-// sendMessages sends messages to their nodes and passes the answers to the conductor.
+// sendMessages sends messages to their nodes and passes the answers to the coordinator.
 func (r *leasedRollout) sendMessages(ctx context.Context, messages []rollout.Message) {
 	view := r.n.views.Load()
 	var wg sync.WaitGroup
@@ -282,14 +282,14 @@
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			answers, err := r.instruct(ctx, record, m)
+			reports, err := r.instruct(ctx, record, m)
 			if err != nil {
 				r.log.Warn().Str("peer", m.VM).Err(err).Msg("rollout: a node does not answer")
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			r.conductor.RecordReports(time.Now(), m.VM, answers)
+			r.coordinator.RecordReports(time.Now(), m.VM, reports)
 		})
 	}
 	wg.Wait()
@@ -299,10 +299,10 @@
 func (r *leasedRollout) instruct(ctx context.Context, to *membership.ObservedRecord, m rollout.Message) ([]rollout.ServerReport, error) {
 	q := encodeInstruction(m.Instruction)
 	if m.VM == r.n.self.ID {
-		return decodeAnswers(m.VM, r.n.rollouts.Instruct(q)), nil
+		return decodeServerReports(m.VM, r.n.rollouts.Instruct(q)), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, instructTimeout)
 	defer cancel()
 	list, err := r.n.control.peers.Rollout(ctx, m.VM, to.VM.ControlAddr, q)
-	return decodeAnswers(m.VM, list), err
+	return decodeServerReports(m.VM, list), err
 }
--- a/internal/node/dedup.go
+++ b/internal/node/dedup.go
@@ -7,7 +7,7 @@
 	"github.com/marlpass/marlpass/internal/proxy"
 )
 
-// dedupAdapter adapts once.Deduplicator to proxy.Keeper.
+// dedupAdapter adapts once.Deduplicator to proxy.Deduplicator.
 type dedupAdapter struct{ k *once.Deduplicator }
 
 // Begin implements proxy.Deduplicator.
@@ -35,7 +35,7 @@
 }
 
 // claimAdapter adapts once.Claim to proxy.Claim. It ignores errors of Finish and Abandon, as
-// Keeper.Flush repeats the write.
+// Deduplicator.Flush repeats the write.
 type claimAdapter struct{ c *once.Claim }
 
 func (c claimAdapter) Started(ctx context.Context) error { return c.c.Started(ctx) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -188,7 +188,7 @@
 	n.parts.run("once", func(ctx context.Context) error { n.calls.runBackground(ctx); return nil })
 	n.parts.run("rollouts", func(ctx context.Context) error { n.rollouts.run(ctx); return nil })
 	n.parts.run("workspaces", func(ctx context.Context) error { n.workspaces.run(ctx); return nil })
-	n.parts.run("conduct", func(ctx context.Context) error { newRolloutConductors(n).run(ctx); return nil })
+	n.parts.run("conduct", func(ctx context.Context) error { newRolloutCoordinators(n).run(ctx); return nil })
 	a := n.Addrs()
 	n.log.Info().Str("callers", a.Callers).Str("internal", a.Internal).
 		Str("calls", a.Calls).Str("control", a.Control).Str("admin", a.Admin).
--- a/internal/node/pickers.go
+++ b/internal/node/pickers.go
@@ -245,19 +245,19 @@
 }
 
 // Pick implements proxy.Pickers.
-func (p *pickers) Pick(now time.Time, t *config.Target, a proxy.PickInfo) (proxy.Choice, error) {
+func (p *pickers) Pick(now time.Time, t *config.Target, info proxy.PickInfo) (proxy.Choice, error) {
 	picker := p.forService(t.Service)
 	size := p.sizes.forClass(t.Name)
 	var c route.Choice
 	var err error
-	if a.Scope != proxy.NoSearch {
-		c, err = picker.PickFreeSlot(now, a.Scope == proxy.SearchDataCentre, a.Tried)
-	} else if t.RatePerSecond > 0 && len(a.Tried) > 0 {
+	if info.Scope != proxy.NoSearch {
+		c, err = picker.PickFreeSlot(now, info.Scope == proxy.SearchDataCentre, info.Tried)
+	} else if t.RatePerSecond > 0 && len(info.Tried) > 0 {
 		// Every endpoint has an equal part of the rate. Where most callers are in one data
 		// centre, the unused rate is in the others.
-		c, err = picker.PickAnywhere(now, a.Tried)
+		c, err = picker.PickAnywhere(now, info.Tried)
 	} else {
-		c, err = picker.PickFor(now, route.PickInfo{Tried: a.Tried, Idempotent: t.Idempotent, RemoteCost: size.remoteCost()})
+		c, err = picker.PickFor(now, route.PickInfo{Tried: info.Tried, Idempotent: t.Idempotent, RemoteCost: size.remoteCost()})
 	}
 	if err != nil {
 		return nil, err
--- a/internal/node/policies.go
+++ b/internal/node/policies.go
@@ -33,30 +33,30 @@
 }
 
 // destinationParts returns parts with these policies applied.
-func (p Policies) destinationParts(parts proxy.DestinationOptions) proxy.DestinationOptions {
+func (p Policies) destinationOptions(opts proxy.DestinationOptions) proxy.DestinationOptions {
 	if p.FixedLimit {
-		parts.Gates = new(proxy.FixedLimit)
+		opts.Gates = new(proxy.FixedLimit)
 	}
 	if p.NoDeduplication {
-		parts.Deduplicator = nil
+		opts.Deduplicator = nil
 	}
 	if p.NoQuarantine {
-		parts.Suspects = nil
+		opts.Suspects = nil
 	}
-	return parts
+	return opts
 }
 
 // entryParts returns parts with these policies applied.
-func (p Policies) entryParts(parts proxy.EntryOptions, own *pickers) proxy.EntryOptions {
+func (p Policies) entryOptions(opts proxy.EntryOptions, own *pickers) proxy.EntryOptions {
 	if p.RoundRobin {
 		own.roundRobin = new(proxy.RoundRobin)
-		parts.Pickers = own.roundRobin
+		opts.Pickers = own.roundRobin
 	}
 	if p.Retrier != nil {
-		parts.Retrier = p.Retrier
+		opts.Retrier = p.Retrier
 	}
 	if p.NoQuarantine {
-		parts.Suspects = nil
+		opts.Suspects = nil
 	}
-	return parts
+	return opts
 }
--- a/internal/node/rollout_peer.go
+++ b/internal/node/rollout_peer.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func decodeAnswers(vm string, list []*peerpb.RolloutServer) []rollout.ServerReport {
+func decodeServerReports(vm string, list []*peerpb.RolloutServer) []rollout.ServerReport {
 	out := make([]rollout.ServerReport, len(list))
 	for i, s := range list {
 		out[i] = rollout.ServerReport{
@@ -76,7 +76,7 @@
 		return nil
 	}
 	r.mu.Lock()
-	accepted := r.guard(i.Service).Apply(now, i)
+	accepted := r.controllerFor(i.Service).Apply(now, i)
 	if accepted {
 		r.startTallies(i)
 	}
@@ -91,7 +91,7 @@
 }
 
 // startTallies resets the tallies of a service's servers for a new order. Counts for the same
-// order under an earlier conductor are kept. The caller holds r.mu.
+// order under an earlier coordinator are kept. The caller holds r.mu.
 func (r *rollouts) startTallies(i rollout.Instruction) {
 	for _, s := range r.localServers(i.Service) {
 		if s.order != i.Order {
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -45,9 +45,9 @@
 	log     zerolog.Logger
 	started time.Time
 
-	mu       sync.Mutex // guards controllers and all fields of the servers that calls do not use
-	guards   map[string]*rollout.AdmissionController
-	fetching map[string]bool // services whose order is being fetched
+	mu          sync.Mutex // guards controllers, fetching, and server fields that calls do not use
+	controllers map[string]*rollout.AdmissionController
+	fetching    map[string]bool // services whose order is being fetched
 
 	servers atomic.Pointer[map[string]*versionedServer] // by instance
 	wake    chan struct{}
@@ -85,7 +85,7 @@
 func newRollouts(n *Node) *rollouts {
 	r := &rollouts{
 		n: n, log: telemetry.Part(n.log, "rollout"), started: time.Now(),
-		guards: make(map[string]*rollout.AdmissionController), fetching: make(map[string]bool),
+		controllers: make(map[string]*rollout.AdmissionController), fetching: make(map[string]bool),
 		wake: make(chan struct{}, 1),
 	}
 	r.servers.Store(&map[string]*versionedServer{})
@@ -165,32 +165,32 @@
 // updateAdmission updates the admission of a server. The caller holds r.mu.
 func (r *rollouts) updateAdmission(now time.Time, s *versionedServer) {
 	previous := s.admission.Load()
-	g := r.guard(s.service)
-	a := r.decideAdmission(now, s, g)
+	controller := r.controllerFor(s.service)
+	a := r.decideAdmission(now, s, controller)
 	s.settled = s.settled || a.Open && now.Sub(r.started) >= settleTime
 	if previous != nil && previous.Admission == a {
 		return
 	}
 	next := &serverAdmission{Admission: a}
 	next.remaining.Store(int64(a.Limit))
-	if previous != nil && previous.Open && !previous.Limited && !a.Open && g.Record().Phase == rollout.Draining {
+	if previous != nil && previous.Open && !previous.Limited && !a.Open && controller.Record().Phase == rollout.Draining {
 		next.closesAt = now.Add(closeDelay)
 	}
 	s.admission.Store(next)
 	if previous == nil && !a.Open || previous != nil && (previous.Open != a.Open || previous.Limited != a.Limited) {
-		r.logChange(s, a, g.Record())
+		r.logChange(s, a, controller.Record())
 	}
 }
 
 // decideAdmission returns the admission of a server, and fetches the order from the table where
 // the admission controller needs it to decide.
-func (r *rollouts) decideAdmission(now time.Time, s *versionedServer, g *rollout.AdmissionController) rollout.Admission {
+func (r *rollouts) decideAdmission(now time.Time, s *versionedServer, controller *rollout.AdmissionController) rollout.Admission {
 	if r.n.o.Orders == nil {
 		return rollout.Admission{Open: true}
 	}
-	met := r.observeVersions(s)
-	a := g.Admit(now, s.version, met)
-	if readAt, due := g.NextTableRead(s.version, met); due && !a.Open && !now.Before(readAt) {
+	others := r.observeVersions(s)
+	a := controller.Admit(now, s.version, others)
+	if readAt, due := controller.NextTableRead(s.version, others); due && !a.Open && !now.Before(readAt) {
 		r.fetchOrder(s.service)
 	}
 	return a
@@ -201,21 +201,21 @@
 		Str("target", record.Target).Str("phase", string(record.Phase)).Msg("rollout: what a backend server takes has changed")
 }
 
-func (r *rollouts) guard(service string) *rollout.AdmissionController {
-	g := r.guards[service]
-	if g == nil {
-		g = new(rollout.AdmissionController)
-		r.guards[service] = g
+func (r *rollouts) controllerFor(service string) *rollout.AdmissionController {
+	controller := r.controllers[service]
+	if controller == nil {
+		controller = new(rollout.AdmissionController)
+		r.controllers[service] = controller
 	}
-	return g
+	return controller
 }
 
 // observeVersions looks for servers of other versions in the view. A server that took calls
 // before they appeared is of the version that they replace.
 func (r *rollouts) observeVersions(s *versionedServer) rollout.OtherVersions {
-	m := rollout.OtherVersions{FirstSeen: s.firstSeen}
+	others := rollout.OtherVersions{FirstSeen: s.firstSeen}
 	if s.settled || s.version == "" {
-		return m
+		return others
 	}
 	v := r.n.views.Load()
 	for id, record := range v.Records {
@@ -224,12 +224,12 @@
 		}
 		for _, b := range record.Backends {
 			if b.Service == s.service && b.Version != "" && b.Version != s.version {
-				m.Present = true
-				m.Ready = m.Ready || b.State == membership.BackendReady
+				others.Present = true
+				others.Ready = others.Ready || b.State == membership.BackendReady
 			}
 		}
 	}
-	return m
+	return others
 }
 
 // run updates the backend servers when grants expire or closed servers may open, until ctx ends.
@@ -288,7 +288,7 @@
 			r.log.Warn().Str("service", service).Err(err).Msg("rollout: the order is not known")
 			return
 		}
-		r.guard(service).ApplyTable(time.Now(), order, record)
+		r.controllerFor(service).ApplyTable(time.Now(), order, record)
 		r.requestUpdate()
 	}()
 }
