--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// closeDelay is how long a server of a replaced version still takes calls once
-	// it is told as not ready: entry nodes learn of that in the meantime.
+	// closeDelay is how long a server of a replaced version still takes calls after it is
+	// published as not ready, until entry nodes have received that state.
 	closeDelay = 700 * time.Millisecond
-	// admissionLag is more than a call takes from its admission until it counts as in flight.
+	// admissionLag is longer than a call takes from its admission until it counts as in flight.
 	admissionLag = 100 * time.Millisecond
-	// settleTime is how long after its start a node may still learn of servers of
-	// another version that it can't have seen before.
+	// settleTime is how long after its start a node may still discover servers of another
+	// version that it could not have seen earlier.
 	settleTime = 3 * time.Second
-	// lapseCheckInterval is the time between two looks at grants that lapse.
+	// lapseCheckInterval is the time between two checks for expired grants.
 	lapseCheckInterval = 100 * time.Millisecond
-	// rolloutReadTimeout bounds a read of the orders and records.
+	// rolloutReadTimeout bounds a read or write of orders and records.
 	rolloutReadTimeout = 2 * time.Second
 )
 
@@ -38,44 +38,43 @@
 	errVersionQuota = &call.Refusal{Reason: call.ReasonBusy, Detail: "its version has had its calls in the rollout"}
 )
 
-// rollouts decides what the backend servers beside this node take while their service's
-// calls move to another version. It adapts rollout.AdmissionController to
-// the interface of the proxy.
+// rollouts decides which calls the backend servers of this VM admit while their service's calls
+// move to another version. It adapts rollout.AdmissionController to proxy.Rollouts.
 type rollouts struct {
 	n       *Node
 	log     zerolog.Logger
 	started time.Time
 
-	mu       sync.Mutex // guards guards and the servers' fields but for those on a call's path
-	guards   map[string]*rollout.AdmissionController
-	fetching map[string]bool // services whose order is being read
+	mu          sync.Mutex // guards controllers, fetching, and server fields that calls do not use
+	controllers map[string]*rollout.AdmissionController
+	fetching    map[string]bool // services whose order is being fetched
 
 	servers atomic.Pointer[map[string]*versionedServer] // by instance
 	wake    chan struct{}
 }
 
-// versionedServer is a backend server with what it takes now.
+// versionedServer is a backend server of one version with its current admission.
 type versionedServer struct {
 	service, version string
 	warmAt           time.Time
-	// tally counts for the rollout of an order; nil before anyone has asked.
+	// tally counts calls for the rollout of an order; nil before the first instruction.
 	tally     atomic.Pointer[rollout.Tally]
 	order     uint64
 	admission atomic.Pointer[serverAdmission]
 
-	firstSeen time.Time // when it was first met
-	settled   bool      // it takes calls until somebody says otherwise
+	firstSeen time.Time // when it first announced itself
+	settled   bool      // it admits calls until an order or record closes it
 }
 
-// serverAdmission is a rollout.Admission in force at a server.
+// serverAdmission is the rollout.Admission in force at a server.
 type serverAdmission struct {
 	rollout.Admission
-	remaining atomic.Int64 // calls, where the admission is limited
-	// closesAt is when a server that isn't open any more takes its last call.
+	remaining atomic.Int64 // calls left, where the admission is limited
+	// closesAt is when a server that is no longer open stops admitting calls.
 	closesAt time.Time
 }
 
-// accepts reports whether a call may be admitted.
+// accepts reports whether a call may be admitted at the given time.
 func (a *serverAdmission) accepts(now time.Time) bool {
 	if !a.Open {
 		return now.Before(a.closesAt)
@@ -86,7 +85,7 @@
 func newRollouts(n *Node) *rollouts {
 	r := &rollouts{
 		n: n, log: telemetry.Part(n.log, "rollout"), started: time.Now(),
-		guards: make(map[string]*rollout.AdmissionController), fetching: make(map[string]bool),
+		controllers: make(map[string]*rollout.AdmissionController), fetching: make(map[string]bool),
 		wake: make(chan struct{}, 1),
 	}
 	r.servers.Store(&map[string]*versionedServer{})
@@ -122,7 +121,7 @@
 	case !a.Open && a.closesAt.IsZero():
 		return errVersionHeld
 	}
-	// Calls that waited for a slot while a baseline was closed are still run: it isn't
+	// Calls that waited for a slot when a baseline was closed still run: the baseline is not
 	// drained before they have ended.
 	return nil
 }
@@ -138,8 +137,8 @@
 	}
 }
 
-// setBackends takes in the backend servers that announced themselves here, and returns them as
-// other nodes are to see them.
+// setBackends updates the backend servers announced at this node, and returns them in the state
+// to publish to other nodes.
 func (r *rollouts) setBackends(now time.Time, list []announce.Backend) []announce.Backend {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,34 +162,35 @@
 	return out
 }
 
-// updateAdmission brings what a server takes up to date. The caller holds r.mu.
+// updateAdmission updates the admission of a server. The caller holds r.mu.
 func (r *rollouts) updateAdmission(now time.Time, s *versionedServer) {
-	was := s.admission.Load()
-	g := r.guard(s.service)
-	a := r.decideAdmission(now, s, g)
+	previous := s.admission.Load()
+	controller := r.controllerFor(s.service)
+	a := r.decideAdmission(now, s, controller)
 	s.settled = s.settled || a.Open && now.Sub(r.started) >= settleTime
-	if was != nil && was.Admission == a {
+	if previous != nil && previous.Admission == a {
 		return
 	}
 	next := &serverAdmission{Admission: a}
 	next.remaining.Store(int64(a.Limit))
-	if was != nil && was.Open && !was.Limited && !a.Open && g.Record().Phase == rollout.Draining {
+	if previous != nil && previous.Open && !previous.Limited && !a.Open && controller.Record().Phase == rollout.Draining {
 		next.closesAt = now.Add(closeDelay)
 	}
 	s.admission.Store(next)
-	if was == nil && !a.Open || was != nil && (was.Open != a.Open || was.Limited != a.Limited) {
-		r.logChange(s, a, g.Record())
+	if previous == nil && !a.Open || previous != nil && (previous.Open != a.Open || previous.Limited != a.Limited) {
+		r.logChange(s, a, controller.Record())
 	}
 }
 
-// decideAdmission returns what a server takes now, and has the table asked where that can't be told.
-func (r *rollouts) decideAdmission(now time.Time, s *versionedServer, g *rollout.AdmissionController) rollout.Admission {
+// decideAdmission returns the admission of a server, and fetches the order from the table where
+// the admission controller needs it to decide.
+func (r *rollouts) decideAdmission(now time.Time, s *versionedServer, controller *rollout.AdmissionController) rollout.Admission {
 	if r.n.o.Orders == nil {
 		return rollout.Admission{Open: true}
 	}
-	met := r.observeVersions(s)
-	a := g.Admit(now, s.version, met)
-	if at, due := g.NextTableRead(s.version, met); due && !a.Open && !now.Before(at) {
+	others := r.observeVersions(s)
+	a := controller.Admit(now, s.version, others)
+	if readAt, due := controller.NextTableRead(s.version, others); due && !a.Open && !now.Before(readAt) {
 		r.fetchOrder(s.service)
 	}
 	return a
@@ -201,21 +201,21 @@
 		Str("target", record.Target).Str("phase", string(record.Phase)).Msg("rollout: what a backend server takes has changed")
 }
 
-func (r *rollouts) guard(service string) *rollout.AdmissionController {
-	g := r.guards[service]
-	if g == nil {
-		g = new(rollout.AdmissionController)
-		r.guards[service] = g
+func (r *rollouts) controllerFor(service string) *rollout.AdmissionController {
+	controller := r.controllers[service]
+	if controller == nil {
+		controller = new(rollout.AdmissionController)
+		r.controllers[service] = controller
 	}
-	return g
+	return controller
 }
 
-// observeVersions looks for servers of other versions. One that has taken calls before they came is of
-// the version that they are to replace.
+// observeVersions looks for servers of other versions in the view. A server that took calls
+// before they appeared is of the version that they replace.
 func (r *rollouts) observeVersions(s *versionedServer) rollout.OtherVersions {
-	m := rollout.OtherVersions{FirstSeen: s.firstSeen}
+	others := rollout.OtherVersions{FirstSeen: s.firstSeen}
 	if s.settled || s.version == "" {
-		return m
+		return others
 	}
 	v := r.n.views.Load()
 	for id, record := range v.Records {
@@ -224,15 +224,15 @@
 		}
 		for _, b := range record.Backends {
 			if b.Service == s.service && b.Version != "" && b.Version != s.version {
-				m.Present = true
-				m.Ready = m.Ready || b.State == membership.BackendReady
+				others.Present = true
+				others.Ready = others.Ready || b.State == membership.BackendReady
 			}
 		}
 	}
-	return m
+	return others
 }
 
-// run looks after grants that lapse and servers that wait to be let in, until ctx ends.
+// run updates the backend servers when grants expire or closed servers may open, until ctx ends.
 func (r *rollouts) run(ctx context.Context) {
 	ticker := time.NewTicker(lapseCheckInterval)
 	defer ticker.Stop()
@@ -250,7 +250,7 @@
 	}
 }
 
-// needsUpdate reports whether what a server takes may have changed by itself.
+// needsUpdate reports whether the admission of a server may have changed with time.
 func (r *rollouts) needsUpdate(now time.Time) bool {
 	starting := now.Sub(r.started) < settleTime
 	for _, s := range *r.servers.Load() {
@@ -263,7 +263,7 @@
 	return false
 }
 
-// requestUpdate has run look now.
+// requestUpdate makes run update the backend servers now.
 func (r *rollouts) requestUpdate() {
 	select {
 	case r.wake <- struct{}{}:
@@ -271,8 +271,7 @@
 	}
 }
 
-// fetchOrder asks the table for the order and the record of a service, beside the caller, who
-// holds r.mu.
+// fetchOrder reads the order and the record of a service in a goroutine. The caller holds r.mu.
 func (r *rollouts) fetchOrder(service string) {
 	if r.fetching[service] {
 		return
@@ -289,12 +288,12 @@
 			r.log.Warn().Str("service", service).Err(err).Msg("rollout: the order is not known")
 			return
 		}
-		r.guard(service).ApplyTable(time.Now(), order, record)
+		r.controllerFor(service).ApplyTable(time.Now(), order, record)
 		r.requestUpdate()
 	}()
 }
 
-// loadOrder returns the newest order for a service and its record; both may be empty.
+// loadOrder reads the newest order for a service and its record; both may be empty.
 func (r *rollouts) loadOrder(ctx context.Context, service string) (rollout.Order, rollout.Record, error) {
 	order, found, err := r.n.o.Orders.Order(ctx, service)
 	if err != nil || !found {
@@ -304,8 +303,8 @@
 	return order, record, err
 }
 
-// loadRecord returns the record of a service with its row's revision; it is empty if there
-// is none.
+// loadRecord reads the rollout record of a service and the revision of its row. Without a row
+// the record is empty and the revision is platform.Absent.
 func loadRecord(ctx context.Context, table platform.Table, service string) (rollout.Record, uint64, error) {
 	row, err := table.Get(ctx, rollout.RecordKey(service))
 	switch {
