--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -197,8 +197,8 @@
 	linkWait time.Duration
 	// took is the time spent at the destination, by part.
 	took destinationTimes
-	// held are the resources that the call holds at this node until its answer has been
-	// relayed; nil if another node ran it.
+	// held is the execution of the call at this node, until its answer has been relayed; nil if
+	// another node ran it.
 	held *execution
 }
 
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -40,7 +40,7 @@
 // Entry receives calls from callers and forwards them to destination nodes.
 type Entry struct {
 	EntryOptions
-	kept      bodyBudget
+	bodies    bodyBudget
 	returning returningCallers
 	freeSlots freeSlotShares
 }
@@ -126,7 +126,7 @@
 		return
 	}
 	var err error
-	if c.body, err = prepareBody(w, r, &e.kept, c.deadline, c.maxBody); err != nil {
+	if c.body, err = prepareBody(w, r, &e.bodies, c.deadline, c.maxBody); err != nil {
 		e.refuse(w, c, refuseIncompleteBody(err))
 		return
 	}
--- a/internal/proxy/silent_body_test.go
+++ b/internal/proxy/silent_body_test.go
@@ -46,7 +46,7 @@
 		t.Run(name, func(t *testing.T) {
 			m := newMesh(t, bookings(), func(http.ResponseWriter, *http.Request) {})
 			synctest.Test(t, func(t *testing.T) { silentBody(t, c.handler(m), c.header) })
-			if n := m.entry.kept.used.Load() + m.dest[0].bodies.used.Load(); n != 0 {
+			if n := m.entry.bodies.used.Load() + m.dest[0].bodies.used.Load(); n != 0 {
 				t.Errorf("%d bytes are still taken", n)
 			}
 		})
