--- a/internal/load/control/baseline.go
+++ b/internal/load/control/baseline.go
@@ -273,7 +273,7 @@
 }
 
 // observe implements subject.
-func (n *poller) observe() (any, node.Held, bool) {
+func (n *poller) observe() (any, node.ServingState, bool) {
 	f := n.store.Load()
-	return n, node.Held{Carries: true, Snapshot: f.Snapshot, Program: f.Snapshot.Version()}, true
+	return n, node.ServingState{TakesCalls: true, Snapshot: f.Snapshot, ProgramVersion: f.Snapshot.Version()}, true
 }
--- a/internal/load/control/calls.go
+++ b/internal/load/control/calls.go
@@ -107,7 +107,7 @@
 // entry returns the address for callers of a random node that takes calls.
 func entry(vms []*localmesh.VM) string {
 	for _, i := range rand.Perm(len(vms)) {
-		if n := vms[i].Node(); n != nil && n.Held().Carries {
+		if n := vms[i].Node(); n != nil && n.ServingState().TakesCalls {
 			return n.Addrs().Callers
 		}
 	}
--- a/internal/load/control/watch.go
+++ b/internal/load/control/watch.go
@@ -15,7 +15,7 @@
 // subject is what is watched: one VM, through all starts of its node. observe
 // returns false while nothing runs there.
 type subject interface {
-	observe() (process any, held node.Held, ok bool)
+	observe() (process any, held node.ServingState, ok bool)
 }
 
 // seen is what was observed of one subject.
@@ -97,22 +97,22 @@
 // note takes one observation. A step back is an older version in the same
 // process, or an older one than was served before in a process that takes
 // calls: a restarted node holds nothing at first, and must not serve by it.
-func (w *watch) note(s *seen, now time.Time, process any, h node.Held) {
+func (w *watch) note(s *seen, now time.Time, process any, h node.ServingState) {
 	number := h.Snapshot.Version().Number
 	back := s.process == process && number < s.current.Version().Number
-	back = back || (h.Carries && number < s.served)
+	back = back || (h.TakesCalls && number < s.served)
 	if back && s.counted != h.Snapshot {
 		s.counted = h.Snapshot
 		w.wentBack++
 	}
-	if h.Carries {
+	if h.TakesCalls {
 		s.served = max(s.served, number)
 	}
 	if s.process == process && s.current == h.Snapshot {
 		return
 	}
 	s.process, s.current = process, h.Snapshot
-	w.whole[h.Snapshot] = h.Program
+	w.whole[h.Snapshot] = h.ProgramVersion
 	if _, ok := s.first[number]; !ok {
 		s.first[number] = now
 	}
@@ -183,12 +183,12 @@
 // vmSubject is a VM of a fleet.
 type vmSubject struct{ node func() *node.Node }
 
-func (v vmSubject) observe() (any, node.Held, bool) {
+func (v vmSubject) observe() (any, node.ServingState, bool) {
 	n := v.node()
 	if n == nil {
-		return nil, node.Held{}, false
+		return nil, node.ServingState{}, false
 	}
-	return n, n.Held(), true
+	return n, n.ServingState(), true
 }
 
 func (f *fleet) subjects() []subject {
--- a/internal/load/control/watch_test.go
+++ b/internal/load/control/watch_test.go
@@ -52,7 +52,7 @@
 		s := &seen{first: make(map[uint64]time.Time)}
 		for i, l := range c.looks {
 			v := vs[l.version]
-			w.note(s, time.Unix(int64(i), 0), l.process, node.Held{Carries: l.carries, Snapshot: v, Program: v.Version()})
+			w.note(s, time.Unix(int64(i), 0), l.process, node.ServingState{TakesCalls: l.carries, Snapshot: v, ProgramVersion: v.Version()})
 		}
 		if w.wentBack != c.want {
 			t.Errorf("%s: %d steps back, want %d", c.name, w.wentBack, c.want)
@@ -93,10 +93,10 @@
 	}
 	for i, at := range []int64{0, 1, 0, 4} {
 		if i != 2 { // skipped by the first
-			w.note(&w.seen[0], time.Unix(at, 0), 1, node.Held{Snapshot: vs[i]})
+			w.note(&w.seen[0], time.Unix(at, 0), 1, node.ServingState{Snapshot: vs[i]})
 		}
 	}
-	w.note(&w.seen[1], time.Unix(2, 0), 1, node.Held{Snapshot: vs[1]})
+	w.note(&w.seen[1], time.Unix(2, 0), 1, node.ServingState{Snapshot: vs[1]})
 	got, missing := w.delays([]sent{{vs[1].Version(), time.Unix(0, 0)}, {vs[2].Version(), time.Unix(1, 0)}})
 	if missing != 1 || quantile(got, 0) != 1000 || quantile(got, 0.5) != 2000 || quantile(got, 1) != 3000 {
 		t.Errorf("got %v, %d missing", got, missing)
--- a/internal/localmesh/history_test.go
+++ b/internal/localmesh/history_test.go
@@ -25,8 +25,8 @@
 	vm.Kill()
 	m.must(m.StartNode(vm))
 	for carries := false; !carries; {
-		h := vm.Node().Held()
-		if carries = h.Carries; carries && h.Snapshot.Version() != v {
+		h := vm.Node().ServingState()
+		if carries = h.TakesCalls; carries && h.Snapshot.Version() != v {
 			t.Fatalf("carries traffic with %s instead of %s", h.Snapshot.Version(), v)
 		}
 		m.must(m.ctx.Err())
@@ -81,7 +81,7 @@
 	m.must(m.StartNode(vm))
 	m.wait("the restarted node reports", func(*node.Node) bool {
 		n := vm.Node()
-		if h := n.Held(); h.Carries && h.Snapshot.Version() != v {
+		if h := n.ServingState(); h.TakesCalls && h.Snapshot.Version() != v {
 			t.Fatalf("a restarted node carries traffic with %s", h.Snapshot.Version())
 		}
 		ok, _ := n.Ready()
@@ -150,7 +150,7 @@
 	}
 	m.inForce(ds[len(ds)-1].To)
 	for i := range commands {
-		if m.VMs[0].Node().Held().Snapshot.Service(fmt.Sprintf("s%d", i)) == nil {
+		if m.VMs[0].Node().ServingState().Snapshot.Service(fmt.Sprintf("s%d", i)) == nil {
 			t.Errorf("s%d is lost", i)
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,7 +47,7 @@
 	Dialect proxy.Dialect
 	// Announce, if set, makes the handler by which backend servers announce
 	// themselves.
-	Announce func(AnnounceParts) http.Handler
+	Announce func(AnnounceDeps) http.Handler
 	// Membership changes the membership's settings, for measurements.
 	Membership func(*membership.Config)
 	// Dial opens the connections to other nodes, backend servers and the
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -9,20 +9,20 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// Held is what a node runs calls by at one moment.
-type Held struct {
-	// Carries says that the node takes calls. It was read first.
-	Carries  bool
+// ServingState is what a node runs calls by at one moment.
+type ServingState struct {
+	// TakesCalls says that the node takes calls. It was read first.
+	TakesCalls  bool
 	Snapshot *config.Snapshot
-	// Program is the version that the program says it was compiled from.
-	Program config.Version
+	// ProgramVersion is the version that the program says it was compiled from.
+	ProgramVersion config.Version
 }
 
-// Held returns what the node runs calls by.
-func (n *Node) Held() Held {
+// ServingState returns what the node runs calls by.
+func (n *Node) ServingState() ServingState {
 	carries := n.carries.Load()
 	f := n.store.Load()
-	return Held{Carries: carries, Snapshot: f.Snapshot, Program: f.Program.Version}
+	return ServingState{TakesCalls: carries, Snapshot: f.Snapshot, ProgramVersion: f.Program.Version}
 }
 
 // Submit has the node take an operator's command, as its admin API does.
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -109,19 +109,19 @@
 // themselves.
 func (n *Node) announceHandler(own *announce.Server) (http.Handler, error) {
 	if n.o.Announce != nil {
-		return n.o.Announce(AnnounceParts{Registry: n.registry, Known: n.knowsService, Changed: n.backendsChanged}), nil
+		return n.o.Announce(AnnounceDeps{Registry: n.registry, KnowsService: n.knowsService, OnChange: n.backendsChanged}), nil
 	}
 	return own.Handler()
 }
 
-// AnnounceParts are what a handler for announcements is made of.
-type AnnounceParts struct {
+// AnnounceDeps are what a handler for announcements is made of.
+type AnnounceDeps struct {
 	Registry *announce.Registry
-	// Known reports whether a service is in the configuration in force, or the one
+	// KnowsService reports whether a service is in the configuration in force, or the one
 	// that this VM's settings name.
-	Known func(service string) bool
-	// Changed must be called after every change of the registry.
-	Changed func([]announce.Change)
+	KnowsService func(service string) bool
+	// OnChange must be called after every change of the registry.
+	OnChange func([]announce.Change)
 }
 
 // knowsService keeps a name that nobody gave out from taking the place of the
