--- a/internal/node/callpath.go
+++ b/internal/node/callpath.go
@@ -64,7 +64,7 @@
 		list:          quarantine.New(time.Now(), quarantine.Options{Self: n.self.ID}),
 		log:           telemetry.Part(n.log, "quarantine"),
 		alerter:       n.control,
-		setNotices:    n.control.notices,
+		setNotices:    n.control.publishNotices,
 		endpointByKey: c.pickers.endpointByKey,
 	}
 	tracer := proxy.NewTracer(provider)
@@ -145,7 +145,7 @@
 func (c *callPath) shutdown() {
 	c.dest.Wait()
 	c.suspects.checksRunning.Wait()
-	ctx, cancel := context.WithTimeout(context.Background(), stopGrace)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownGrace)
 	defer cancel()
 	if err := c.dedup.Flush(ctx); err != nil {
 		c.n.log.Error().Err(err).Msg("once: outcomes could not be stored before the stop")
@@ -167,8 +167,8 @@
 	switch {
 	case a.c.draining.Load():
 		return errDraining
-	case !a.c.n.carries.Load():
-		return &call.Refusal{Reason: call.ReasonNotReady, RetryAfter: startAgain/2 + rand.N(startAgain)}
+	case !a.c.n.takesCalls.Load():
+		return &call.Refusal{Reason: call.ReasonNotReady, RetryAfter: startupRetryAfter/2 + rand.N(startupRetryAfter)}
 	}
 	return nil
 }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -24,16 +24,16 @@
 	"github.com/marlpass/marlpass/internal/wait"
 )
 
-// contactPoll is how often a starting node looks whether it was let in.
-const contactPoll = 50 * time.Millisecond
+// joinPollInterval is how often a starting node looks whether it was let in.
+const joinPollInterval = 50 * time.Millisecond
 
-// settleBound is how long a starting node waits for the membership's first
+// joinTimeout is how long a starting node waits for the membership's first
 // contact before it looks for versions with what it has.
-const settleBound = 3 * time.Second
+const joinTimeout = 3 * time.Second
 
-// spread brings versions to this node and serves them to others: from the mesh's
+// distributor brings versions to this node and serves them to others: from the mesh's
 // own log by a distribute.Runner, or from elsewhere by a follow.Runner.
-type spread interface {
+type distributor interface {
 	// Run returns an error if the node has to be started again.
 	Run(context.Context) error
 	Heard(*peerpb.Envelope)
@@ -58,26 +58,26 @@
 	table   platform.Table
 	objects platform.Objects
 
-	members    *membership.Runner
-	spread     spread
-	peers      *peer.Client
-	server     *peer.Server
-	peerSum    *peer.Metrics
-	log        *command.Reader
-	commit     *command.Committer
-	commands   command.Submitter
-	maintainer *maintainer
+	members     *membership.Runner
+	distributor distributor
+	peers       *peer.Client
+	server      *peer.Server
+	peerMetrics *peer.Metrics
+	log         *command.Reader
+	commit      *command.Committer
+	commands    command.Submitter
+	maintainer  *maintainer
 
-	telling  sync.Mutex   // held while backend servers are told
-	findings counterSet   // by kind
-	heardAt  atomic.Int64 // when a peer was last heard, in Unix milliseconds
+	publishMu   sync.Mutex   // held while backend servers are told
+	findings    counterSet   // by kind
+	lastHeardMs atomic.Int64 // when a peer was last heard, in Unix milliseconds
 }
 
 func newControl(n *Node) (*control, error) {
 	c := &control{n: n, metrics: metrics.NewSet()}
-	c.peerSum = peer.NewMetrics(c.metrics)
+	c.peerMetrics = peer.NewMetrics(c.metrics)
 	var err error
-	if c.trust, err = newTrust(n.set, telemetry.Part(n.log, "trust"), c.peerSum); err != nil {
+	if c.trust, err = newTrust(n.set, telemetry.Part(n.log, "trust"), c.peerMetrics); err != nil {
 		return nil, err
 	}
 	if err := c.openPlatform(); err != nil {
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	c.wireCommands()
-	c.wireSpread()
+	c.wireDistributor()
 	return c, nil
 }
 
@@ -113,7 +113,7 @@
 	var err error
 	c.peers, err = peer.NewClient(peer.ClientConfig{
 		Mesh: n.set.Mesh, VM: n.self.ID, TLS: c.trust.client(),
-		Limits: peer.DefaultLimits(), Metrics: c.peerSum, Dial: c.n.o.Dial,
+		Limits: peer.DefaultLimits(), Metrics: c.peerMetrics, Dial: c.n.o.Dial,
 		Sender: c.sender, OnEnvelope: c.Heard,
 	})
 	if err != nil {
@@ -132,7 +132,7 @@
 	c.members = membership.NewRunner(cfg, c.peers, membership.TableContacts{Table: c.table}, &n.views, n.log)
 	c.server = peer.NewServer(peer.ServerConfig{
 		Mesh: n.set.Mesh, VM: n.self.ID, TLS: c.trust.server(),
-		Limits: peer.DefaultLimits(), Metrics: c.peerSum, Log: telemetry.Part(n.log, "peer"),
+		Limits: peer.DefaultLimits(), Metrics: c.peerMetrics, Log: telemetry.Part(n.log, "peer"),
 		Sender: c.sender, Membership: c.members, Distributor: c, Submitter: peerCommands{c}, Alerts: alerts{n}, Reporter: n.reports, Rollouts: n.rollouts, Collector: n.workspaces,
 	})
 	return nil
@@ -142,8 +142,8 @@
 	held := command.SnapshotFunc(c.n.snapshot)
 	c.log = command.NewReader(c.table, c.objects, held)
 	c.commit = command.NewCommitter(c.log, c.table, command.Options{
-		Held:     func() (config.Version, bool) { return c.spread.Held() },
-		Accepted: func(_ *config.Snapshot, d *config.Delta) { c.spread.Accepted(d) },
+		Held:     func() (config.Version, bool) { return c.distributor.Held() },
+		Accepted: func(_ *config.Snapshot, d *config.Delta) { c.distributor.Accepted(d) },
 	})
 	c.commands = command.NewForwarder(c.commit, submitPeers{c})
 	if c.n.o.Source != nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-func (c *control) wireSpread() {
+func (c *control) wireDistributor() {
 	n := c.n
 	if n.o.Source != nil {
 		set := follow.Defaults(n.self.ID, n.self.DataCentre, n.self.LinkMbps)
@@ -159,8 +159,8 @@
 			set = set.WithInForceBound(bound)
 		}
 		set.MaxAssuranceAge = n.set.Workspaces.ConfirmWithin.Duration
-		c.spread = follow.NewRunner(set, follow.Deps{
-			Source: n.o.Source, Views: &n.views, Client: c.peers, Store: wakingStore{n},
+		c.distributor = follow.NewRunner(set, follow.Deps{
+			Source: n.o.Source, Views: &n.views, Client: c.peers, Store: notifyingStore{n},
 			Log:       telemetry.Part(n.log, "follow"),
 			OnFinding: func(f follow.Finding) { c.findings.increment(string(f)) },
 		})
@@ -174,8 +174,8 @@
 	if d := n.set.Peers.AloneAfter.Duration; d > 0 {
 		set.AloneAfter = d
 	}
-	c.spread = distribute.NewRunner(set, distribute.Deps{
-		Views: &n.views, Platform: feed.New(c.log), Client: c.peers, Store: wakingStore{n},
+	c.distributor = distribute.NewRunner(set, distribute.Deps{
+		Views: &n.views, Platform: feed.New(c.log), Client: c.peers, Store: notifyingStore{n},
 		Log: telemetry.Part(n.log, "distribute"),
 		OnFinding: func(f distribute.Finding) {
 			c.findings.increment(f.Kind())
@@ -188,9 +188,9 @@
 func (c *control) wireMaintenance() {
 	m := newMaintainer(c.table, c.n.self.ID, time.Now)
 	m.log = telemetry.Part(c.n.log, "maintenance")
-	m.duty = func() bool {
+	m.eligible = func() bool {
 		// The rows of versions accepted elsewhere are not this mesh's to keep.
-		return c.n.o.Source == nil && c.spread.Feeder() && !c.n.leaving.Load()
+		return c.n.o.Source == nil && c.distributor.Feeder() && !c.n.leaving.Load()
 	}
 	m.compact = command.NewCompactor(c.log, c.table, c.objects, command.CompactOptions{})
 	m.trim = c.n.calls.dedup
@@ -199,7 +199,7 @@
 
 // sender is what every message of this node carries.
 func (c *control) sender() peer.SenderInfo {
-	s := c.spread.Stamp()
+	s := c.distributor.Stamp()
 	return peer.SenderInfo{Incarnation: c.n.self.Incarnation, Version: s.Version, Behind: s.Behind, Confirmed: s.Confirmed}
 }
 
@@ -211,22 +211,22 @@
 	p.run("maintenance", func(ctx context.Context) error { c.maintainer.run(ctx); return nil })
 	p.run("distribute", func(ctx context.Context) error {
 		if c.n.o.Source == nil {
-			c.awaitContact(ctx)
+			c.awaitJoin(ctx)
 		}
-		return c.spread.Run(ctx)
+		return c.distributor.Run(ctx)
 	})
 }
 
-// awaitContact waits until the membership has let this node in or found nobody.
-func (c *control) awaitContact(ctx context.Context) {
-	deadline := time.Now().Add(settleBound)
+// awaitJoin waits until the membership has let this node in or found nobody.
+func (c *control) awaitJoin(ctx context.Context) {
+	deadline := time.Now().Add(joinTimeout)
 	for !c.members.Joined() && time.Now().Before(deadline) && ctx.Err() == nil {
-		_ = wait.For(ctx, contactPoll)
+		_ = wait.For(ctx, joinPollInterval)
 	}
 }
 
-// applied tells the membership which version is in force here.
-func (c *control) applied(s *config.Snapshot, refused *config.Refused) {
+// publishVersion tells the membership which version is in force here.
+func (c *control) publishVersion(s *config.Snapshot, refused *config.Refused) {
 	v := s.Version()
 	a := membership.ConfigStatus{Version: v.Number}
 	copy(a.Hash[:], v.Hash[:])
@@ -237,19 +237,19 @@
 	c.members.SetConfigStatus(a)
 }
 
-// backends tells the membership which backend servers are beside this node, and what they
+// publishBackends tells the membership which backend servers are beside this node, and what they
 // take. The lock keeps an older state from being told after a newer one.
-func (c *control) backends() {
-	c.telling.Lock()
-	defer c.telling.Unlock()
+func (c *control) publishBackends() {
+	c.publishMu.Lock()
+	defer c.publishMu.Unlock()
 	seen := c.n.rollouts.setBackends(time.Now(), c.n.registry.Load())
 	if err := c.members.SetBackends(announce.MembershipBackends(seen)); err != nil {
 		c.n.log.Error().Err(err).Msg("membership: backend servers are not told")
 	}
 }
 
-// notices tells the membership this node's own notices.
-func (c *control) notices(ns []membership.Notice) {
+// publishNotices tells the membership this node's own publishNotices.
+func (c *control) publishNotices(ns []membership.Notice) {
 	if err := c.members.SetNotices(ns); err != nil {
 		c.n.log.Error().Err(err).Msg("membership: notices are not told")
 	}
--- a/internal/node/discover.go
+++ b/internal/node/discover.go
@@ -10,13 +10,13 @@
 
 // Times of looking for a backend server that was there before this node.
 const (
-	// discoverEvery is the time between two looks at what is still missing.
-	discoverEvery = 20 * time.Millisecond
-	// discoverGap is the time between two probes, and discoverFor how long a
+	// discoverPollInterval is the time between two looks at what is still missing.
+	discoverPollInterval = 20 * time.Millisecond
+	// discoverProbeInterval is the time between two probes, and discoverFor how long a
 	// backend server may go without an announcement before it is given up;
 	// its own renewals come more often than that.
-	discoverGap = 300 * time.Millisecond
-	discoverFor = 2 * time.Second
+	discoverProbeInterval = 300 * time.Millisecond
+	discoverTimeout       = 2 * time.Second
 )
 
 // discover asks the backend server of this VM who it is, instead of waiting for
@@ -29,28 +29,28 @@
 	if n.o.Probe == nil {
 		return
 	}
-	until := time.Now().Add(discoverFor)
+	until := time.Now().Add(discoverTimeout)
 	for ctx.Err() == nil && len(n.registry.Load()) == 0 {
 		service := n.store.Load().Snapshot.Service(n.set.VM.Service)
 		switch {
 		case service == nil:
 			// No version is in force yet.
-			until = time.Now().Add(discoverFor)
-			_ = wait.For(ctx, discoverEvery)
+			until = time.Now().Add(discoverTimeout)
+			_ = wait.For(ctx, discoverPollInterval)
 		case service.HealthPath == "" || time.Now().After(until):
 			return
 		default:
 			if n.probe(ctx, service.HealthPath) {
 				return
 			}
-			_ = wait.For(ctx, discoverGap)
+			_ = wait.For(ctx, discoverProbeInterval)
 		}
 	}
 }
 
 // probe takes in the backend server if it answers.
 func (n *Node) probe(ctx context.Context, path string) bool {
-	ctx, cancel := context.WithTimeout(ctx, discoverFor)
+	ctx, cancel := context.WithTimeout(ctx, discoverTimeout)
 	defer cancel()
 	a, err := n.o.Probe(ctx, n.set.VM.Backend, path)
 	if err != nil {
--- a/internal/node/discover_test.go
+++ b/internal/node/discover_test.go
@@ -18,7 +18,7 @@
 // A node is restarted, and its backend server runs on. It had to wait for the next
 // heartbeat, a second or more, during which the backend server stood idle. It has to
 // ask, again while there is no answer, and only where versions say how.
-func TestRestartedNodeAsksItsBackendServer(t *testing.T) {
+func TestRestartedNodeProbesItsBackendServer(t *testing.T) {
 	var asked atomic.Int64
 	probe := func(_ context.Context, address, path string) (announce.Announcement, error) {
 		if path != "/well" || address != "10.0.0.9:80" {
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -15,7 +15,7 @@
 //   - calls: callpath, program, split, gates, backends, discover, dedup, pickers,
 //     sizes, retries, policies, suspects;
 //   - control: control, peers, rejecting_submitter, maintenance,
-//     maintenance_figures;
+//     maintenance_stats;
 //   - what operators ask for: reader, observe, report, report_wire, handover,
 //     handover_findings, handover_quarantine;
 //   - metrics and logs: metrics, metrics_calls, metrics_control, counters, view_log.
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -7,7 +7,7 @@
 )
 
 // AcceptVersion hands a version to a node as if it had been accepted there.
-func (n *Node) AcceptVersion(d *config.Delta) { n.control.spread.Accepted(d) }
+func (n *Node) AcceptVersion(d *config.Delta) { n.control.distributor.Accepted(d) }
 
 // Snapshot returns the snapshot in force.
 func (n *Node) Snapshot() *config.Snapshot { return n.snapshot() }
@@ -39,4 +39,4 @@
 }
 
 // OfferSnapshot puts a version in force as the spreading does.
-func (n *Node) OfferSnapshot(s *config.Snapshot) (bool, error) { return wakingStore{n}.Offer(s) }
+func (n *Node) OfferSnapshot(s *config.Snapshot) (bool, error) { return notifyingStore{n}.Offer(s) }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -13,8 +13,8 @@
 
 // Bounds of what a handover reads from the platform, while other nodes report.
 const (
-	handoverReadBound = 2500 * time.Millisecond
-	handoverChanges   = 100
+	handoverReadTimeout = 2500 * time.Millisecond
+	maxHandoverChanges  = 100
 )
 
 // Handover implements admin.Reader. It tells what can be told: a part that
@@ -33,7 +33,7 @@
 	in.Quarantined = n.quarantined(time.Now())
 	in.Spread = n.spreadTimes()
 	in.Findings = n.findings.list()
-	for _, c := range n.control.spread.Conflicts() {
+	for _, c := range n.control.distributor.Conflicts() {
 		in.Conflicts = append(in.Conflicts, c.At.UTC().Format(time.RFC3339)+" "+c.Error())
 	}
 	return admin.HandoverOf(query.HandoverOf(in, time.Now())), nil
@@ -42,7 +42,7 @@
 // readPlatform reads the head and the changes. Whether the platform answers is
 // judged by this very read, since the last call before it may be long ago.
 func (r *reader) readPlatform(ctx context.Context, in *query.HandoverInput) {
-	ctx, cancel := context.WithTimeout(ctx, handoverReadBound)
+	ctx, cancel := context.WithTimeout(ctx, handoverReadTimeout)
 	defer cancel()
 	h, err := r.head(ctx)
 	in.Platform = r.n.platformState(time.Now())
@@ -61,7 +61,7 @@
 		in.Platform.DownSince, in.Platform.Err = time.Time{}, ""
 		in.Platform.LastAnswer = time.Now()
 	}
-	in.History, in.HistoryErr = r.history(ctx, h, query.HistoryFilter{Since: in.Since, Limit: handoverChanges})
+	in.History, in.HistoryErr = r.history(ctx, h, query.HistoryFilter{Since: in.Since, Limit: maxHandoverChanges})
 	if history != nil && in.HistoryErr == nil {
 		// The platform's log lacks changes that are in force, or has others.
 		in.HistoryErr = history
--- a/internal/node/lift_test.go
+++ b/internal/node/lift_test.go
@@ -13,7 +13,7 @@
 // backend servers mended and lifts it. Had only the node that was asked let it
 // go, callers elsewhere would be refused for half an hour more.
 func TestOperatorLiftsAQuarantine(t *testing.T) {
-	y := newYard(t)
+	y := newOperatorMesh(t)
 	y.state(t)
 	y.startBackend(t, 0, "a")
 	y.startBackend(t, 2, "b")
@@ -64,7 +64,7 @@
 // were made anew at the next crash only; only the lifter told of the lift. So a
 // node that started after its end held the request in quarantine again.
 func TestLiftOutlivesTheNodeThatWasAsked(t *testing.T) {
-	y := newYard(t)
+	y := newOperatorMesh(t)
 	y.state(t)
 	y.startBackend(t, 0, "a")
 	y.startBackend(t, 2, "b")
@@ -95,7 +95,7 @@
 }
 
 // quarantined returns the request that the VM's node holds, or a zero one.
-func (y *yard) quarantined(t *testing.T, vm int) adminapi.QuarantinedRequest {
+func (y *operatorMesh) quarantined(t *testing.T, vm int) adminapi.QuarantinedRequest {
 	t.Helper()
 	l, err := y.admin(t, vm).ListQuarantine(y.ctx)
 	if err != nil || len(l.Requests) == 0 {
@@ -104,7 +104,7 @@
 	return l.Requests[0]
 }
 
-func (y *yard) crashes() int64 {
+func (y *operatorMesh) crashes() int64 {
 	var n int64
 	for _, vm := range y.VMs {
 		for _, b := range vm.Backends() {
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -105,8 +105,8 @@
 // send, from the end of the header on: their bodies are small, and no answer
 // takes longer than a command that goes through a peer.
 const (
-	sideRead  = 20 * time.Second
-	sideWrite = 2 * time.Minute
+	sideReadTimeout  = 20 * time.Second
+	sideWriteTimeout = 2 * time.Minute
 )
 
 // newSideServer returns a server for a part that carries no calls.
@@ -117,26 +117,26 @@
 // ever, until the node has no files left for calls.
 func newSideServer(h http.Handler, log zerolog.Logger) *http.Server {
 	s := newServer(h, log)
-	s.ReadTimeout = sideRead
-	s.WriteTimeout = sideWrite
+	s.ReadTimeout = sideReadTimeout
+	s.WriteTimeout = sideWriteTimeout
 	return s
 }
 
-// errorsPerSecond bounds the lines about clients that do not speak as they
+// maxErrorLinesPerSecond bounds the lines about clients that do not speak as they
 // should: one that is set up wrongly tries again for ever.
-const errorsPerSecond = 5
+const maxErrorLinesPerSecond = 5
 
 func errorLog(log zerolog.Logger) *stdlog.Logger {
-	few := log.Sample(&zerolog.BurstSampler{Burst: errorsPerSecond, Period: time.Second})
-	return stdlog.New(serverLines{few}, "", 0)
+	few := log.Sample(&zerolog.BurstSampler{Burst: maxErrorLinesPerSecond, Period: time.Second})
+	return stdlog.New(serverLog{few}, "", 0)
 }
 
-// serverLines logs what net/http says of connections and of handlers that
+// serverLog logs what net/http says of connections and of handlers that
 // panicked.
-type serverLines struct{ log zerolog.Logger }
+type serverLog struct{ log zerolog.Logger }
 
 // Write implements io.Writer.
-func (l serverLines) Write(p []byte) (int, error) {
+func (l serverLog) Write(p []byte) (int, error) {
 	l.log.Warn().Msg("listener: " + strings.TrimSpace(string(p)))
 	return len(p), nil
 }
--- a/internal/node/listeners_test.go
+++ b/internal/node/listeners_test.go
@@ -59,8 +59,8 @@
 	return ln
 }
 
-// lives returns how long the server keeps the connection after it was sent text.
-func lives(t *testing.T, conn net.Conn, text string) time.Duration {
+// connectionLifetime returns how long the server keeps the connection after it was sent text.
+func connectionLifetime(t *testing.T, conn net.Conn, text string) time.Duration {
 	t.Helper()
 	start := time.Now()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -81,7 +81,7 @@
 func TestSilentBodyEndsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ln := servePipes(t, newSideServer(refuseAll, zerolog.Nop()))
-		if got := lives(t, ln.dial(), "PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\n"); got > sideRead {
+		if got := connectionLifetime(t, ln.dial(), "PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\n"); got > sideReadTimeout {
 			t.Errorf("kept for %s", got)
 		}
 	})
@@ -102,7 +102,7 @@
 		if _, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		if got := <-wrote; got > sideWrite {
+		if got := <-wrote; got > sideWriteTimeout {
 			t.Errorf("written for %s", got)
 		}
 	})
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -20,14 +20,14 @@
 // each in about a minute.
 const (
 	maintenanceLease     = 3 * time.Minute
-	maintenanceLook      = time.Minute      // between two looks at another's lease
-	maintenanceRest      = time.Minute      // after a round that found nothing to do
-	maintenanceMore      = time.Second      // between two steps that found something
-	maintenanceScan      = 5 * time.Second  // between two steps that merely read
+	maintenanceLeasePoll = time.Minute      // between two looks at another's lease
+	maintenanceIdleWait  = time.Minute      // after a round that found nothing to do
+	maintenanceStepWait  = time.Second      // between two steps that found something
+	maintenanceScanWait  = 5 * time.Second  // between two steps that merely read
 	maintenanceTimeout   = 10 * time.Second // of one look, renewal or step
 	maintenanceLeaseName = "maintenance"    // of the row in the platform
 	trimRows             = 128              // outcomes read and removed in a step
-	trimRest             = 10 * time.Minute // between two passes over the outcomes
+	trimPassInterval     = 10 * time.Minute // between two passes over the outcomes
 	maintenanceJitter    = 0.5              // share of each wait that is random
 )
 
@@ -53,7 +53,7 @@
 type maintainer struct {
 	log       zerolog.Logger
 	now       func() time.Time
-	duty      func() bool // whether this node may contend
+	eligible  func() bool // whether this node may contend
 	contender *lease.Contender
 	compact   compactor
 	trim      trimmer
@@ -61,13 +61,13 @@
 	held      *lease.Lease
 	cursor    string    // where trimming goes on
 	trimAfter time.Time // when the next pass over the outcomes may begin
-	figures   maintenanceFigures
+	stats     maintenanceStats
 }
 
 func newMaintainer(t platform.Table, vm string, now func() time.Time) *maintainer {
 	return &maintainer{
-		now:  now,
-		duty: func() bool { return true },
+		now:      now,
+		eligible: func() bool { return true },
 		contender: lease.New(t, lease.Options{
 			Name: maintenanceLeaseName, Holder: vm + "/" + rand.Text(), Length: maintenanceLease, Clock: now,
 		}),
@@ -76,7 +76,7 @@
 
 // run does what is due until ctx ends, then gives the lease back.
 func (m *maintainer) run(ctx context.Context) {
-	rest := maintenanceLook
+	rest := maintenanceLeasePoll
 	for {
 		_ = wait.For(ctx, jitter(rest))
 		if ctx.Err() != nil {
@@ -99,35 +99,35 @@
 func (m *maintainer) step(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, maintenanceTimeout)
 	defer cancel()
-	if !m.duty() {
+	if !m.eligible() {
 		m.release()
-		return maintenanceLook
+		return maintenanceLeasePoll
 	}
-	if !m.hold(ctx) {
-		return maintenanceLook
+	if !m.ensureLease(ctx) {
+		return maintenanceLeasePoll
 	}
-	wait, err := m.work(ctx)
+	wait, err := m.compactAndTrim(ctx)
 	if err == nil {
 		return wait
 	}
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) {
 		if lostFence(conflict, m.held.Condition()) {
-			m.lose()
-			return maintenanceLook
+			m.dropLease()
+			return maintenanceLeasePoll
 		}
-		return maintenanceMore // an operator's change came between; look again
+		return maintenanceStepWait // an operator's change came between; look again
 	}
-	m.figures.failed.Add(1)
+	m.stats.failed.Add(1)
 	m.log.Warn().Err(err).Msg("maintenance: step failed")
-	return maintenanceRest
+	return maintenanceIdleWait
 }
 
-// hold reports whether this node holds the lease, and renews it when a third of
+// ensureLease reports whether this node holds the lease, and renews it when a third of
 // it has passed.
-func (m *maintainer) hold(ctx context.Context) bool {
+func (m *maintainer) ensureLease(ctx context.Context) bool {
 	if m.held != nil && !m.held.Valid() {
-		m.lose()
+		m.dropLease()
 	}
 	if m.held == nil {
 		return m.acquire(ctx)
@@ -137,7 +137,7 @@
 	}
 	err := m.held.Renew(ctx)
 	if errors.Is(err, lease.ErrLost) {
-		m.lose()
+		m.dropLease()
 		return false
 	}
 	if err != nil {
@@ -155,17 +155,17 @@
 		return false
 	}
 	m.held = l
-	m.figures.holds.Store(true)
-	m.figures.taken.Add(1)
+	m.stats.holdsLease.Store(true)
+	m.stats.taken.Add(1)
 	m.log.Info().Uint64("token", l.Token()).Msg("maintenance: lease taken")
 	return true
 }
 
-// lose forgets a lease that another holder has, or may have.
-func (m *maintainer) lose() {
+// dropLease forgets a lease that another holder has, or may have.
+func (m *maintainer) dropLease() {
 	m.held = nil
-	m.figures.holds.Store(false)
-	m.figures.lost.Add(1)
+	m.stats.holdsLease.Store(false)
+	m.stats.lost.Add(1)
 	m.log.Warn().Msg("maintenance: lease lost")
 }
 
@@ -179,19 +179,19 @@
 		m.log.Warn().Err(err).Msg("maintenance: lease runs out by itself")
 	}
 	m.held = nil
-	m.figures.holds.Store(false)
+	m.stats.holdsLease.Store(false)
 }
 
-// work compacts, and trims outcomes when compaction has nothing urgent.
-func (m *maintainer) work(ctx context.Context) (time.Duration, error) {
+// compactAndTrim compacts, and trims outcomes when compaction has nothing urgent.
+func (m *maintainer) compactAndTrim(ctx context.Context) (time.Duration, error) {
 	rep, err := m.compact.Step(ctx, m.held, m.now())
 	if err != nil {
 		return 0, err
 	}
 	deleted := rep.LogDeleted + rep.CommandDeleted + rep.ObjectsDeleted
-	m.figures.compacted.Add(uint64(deleted))
+	m.stats.compacted.Add(uint64(deleted))
 	if rep.More && deleted > 0 {
-		return maintenanceMore, nil
+		return maintenanceStepWait, nil
 	}
 	trimming, err := m.trimStep(ctx)
 	if err != nil {
@@ -201,9 +201,9 @@
 		return trimming, nil
 	}
 	if rep.More {
-		return maintenanceScan, nil
+		return maintenanceScanWait, nil
 	}
-	return maintenanceRest, nil
+	return maintenanceIdleWait, nil
 }
 
 // trimStep removes old outcomes. It returns how long to wait for the next step
@@ -217,15 +217,15 @@
 		return 0, err
 	}
 	m.cursor = next
-	m.figures.trimmed.Add(uint64(removed))
+	m.stats.trimmed.Add(uint64(removed))
 	switch {
 	case next == "":
-		m.trimAfter = m.now().Add(trimRest)
+		m.trimAfter = m.now().Add(trimPassInterval)
 		return 0, nil
 	case removed > 0:
-		return maintenanceMore, nil
+		return maintenanceStepWait, nil
 	}
-	return maintenanceScan, nil
+	return maintenanceScanWait, nil
 }
 
 // lostFence reports whether a write failed because the lease has passed on, and
--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -14,13 +14,13 @@
 	"github.com/marlpass/marlpass/internal/platform/fake"
 )
 
-// hooked is a table that calls before ahead of a commit, once.
-type hooked struct {
+// hookedTable is a table that calls before ahead of a commit, once.
+type hookedTable struct {
 	platform.Table
 	before func()
 }
 
-func (h *hooked) Commit(ctx context.Context, t platform.Txn) error {
+func (h *hookedTable) Commit(ctx context.Context, t platform.Txn) error {
 	if f := h.before; f != nil && len(t.Writes) > 2 {
 		h.before = nil
 		f()
@@ -52,8 +52,8 @@
 	return h
 }
 
-// keeper returns a maintainer that sees the platform through table.
-func (h *maintenanceFixture) keeper(vm string, table platform.Table) *maintainer {
+// maintainer returns a maintainer that sees the platform through table.
+func (h *maintenanceFixture) maintainer(vm string, table platform.Table) *maintainer {
 	k := newMaintainer(table, vm, func() time.Time { return h.now })
 	k.log = zerolog.Nop()
 	r := command.NewReader(table, h.store.Objects(), command.SnapshotFunc(config.Empty))
@@ -83,8 +83,8 @@
 func TestPausedMaintainerChangesNothing(t *testing.T) {
 	h := newMaintenanceFixture(t, 24)
 	ctx := context.Background()
-	table := &hooked{Table: h.store.Table()}
-	paused, other := h.keeper("vm1", table), h.keeper("vm2", h.store.Table())
+	table := &hookedTable{Table: h.store.Table()}
+	paused, other := h.maintainer("vm1", table), h.maintainer("vm2", h.store.Table())
 	left := 0
 	table.before = func() {
 		other.step(ctx) // first sighting of the lease
@@ -97,14 +97,14 @@
 	if left == 0 || left >= 24 {
 		t.Fatalf("the other holder left %d of 24 log rows", left)
 	}
-	if !other.figures.holds.Load() || paused.figures.holds.Load() || paused.figures.lost.Load() != 1 {
-		t.Fatalf("holds: other %v, paused %v", other.figures.holds.Load(), paused.figures.holds.Load())
+	if !other.stats.holdsLease.Load() || paused.stats.holdsLease.Load() || paused.stats.lost.Load() != 1 {
+		t.Fatalf("holds: other %v, paused %v", other.stats.holdsLease.Load(), paused.stats.holdsLease.Load())
 	}
-	if got := h.logRows(); got != left || paused.figures.compacted.Load() != 0 {
+	if got := h.logRows(); got != left || paused.stats.compacted.Load() != 0 {
 		t.Errorf("the paused holder changed the log from %d rows to %d", left, got)
 	}
 	paused.step(ctx)
-	if paused.figures.holds.Load() {
+	if paused.stats.holdsLease.Load() {
 		t.Error("two hold the lease")
 	}
 }
@@ -114,13 +114,13 @@
 // when nothing is left.
 func TestMaintainerWorksItOffAndRests(t *testing.T) {
 	h := newMaintenanceFixture(t, 24)
-	k := h.keeper("vm1", h.store.Table())
+	k := h.maintainer("vm1", h.store.Table())
 	var wait time.Duration
 	for range 12 {
 		wait = k.step(context.Background())
 		h.now = h.now.Add(wait)
 	}
-	if got := h.logRows(); got > 3+4 || wait != maintenanceRest {
+	if got := h.logRows(); got > 3+4 || wait != maintenanceIdleWait {
 		t.Errorf("%d log rows are left, the wait is %s", got, wait)
 	}
 	before := h.store.Counts()
@@ -128,8 +128,8 @@
 		h.now = h.now.Add(k.step(context.Background()))
 	}
 	after := h.store.Counts()
-	if k.figures.taken.Load() != 1 || k.figures.lost.Load() != 0 {
-		t.Errorf("lease taken %d times, lost %d", k.figures.taken.Load(), k.figures.lost.Load())
+	if k.stats.taken.Load() != 1 || k.stats.lost.Load() != 0 {
+		t.Errorf("lease taken %d times, lost %d", k.stats.taken.Load(), k.stats.lost.Load())
 	}
 	// An hour of rest: a read of the head and one scan a minute, and a renewal
 	// now and then.
@@ -142,19 +142,19 @@
 // that look once a minute are 40 reads a second.
 func TestNoFeederContends(t *testing.T) {
 	h := newMaintenanceFixture(t, 1)
-	k := h.keeper("vm1", h.store.Table())
+	k := h.maintainer("vm1", h.store.Table())
 	before := h.store.Counts()
-	k.duty = func() bool { return false }
+	k.eligible = func() bool { return false }
 	k.step(context.Background())
 	if h.store.Counts() != before {
 		t.Error("the platform was read")
 	}
-	k.duty = func() bool { return true }
+	k.eligible = func() bool { return true }
 	k.step(context.Background())
-	k.duty = func() bool { return false }
+	k.eligible = func() bool { return false }
 	k.step(context.Background())
-	other := h.keeper("vm2", h.store.Table())
-	if other.step(context.Background()); !other.figures.holds.Load() {
+	other := h.maintainer("vm2", h.store.Table())
+	if other.step(context.Background()); !other.stats.holdsLease.Load() {
 		t.Error("a node that stopped being a feeder kept the lease")
 	}
 }
@@ -167,8 +167,8 @@
 	keepers := make([]*maintainer, 10)
 	due := make([]time.Time, len(keepers))
 	for i := range keepers {
-		keepers[i] = h.keeper(fmt.Sprint("vm", i), h.store.Table())
-		due[i] = h.now.Add(time.Duration(i) * maintenanceLook / time.Duration(len(keepers)))
+		keepers[i] = h.maintainer(fmt.Sprint("vm", i), h.store.Table())
+		due[i] = h.now.Add(time.Duration(i) * maintenanceLeasePoll / time.Duration(len(keepers)))
 	}
 	before, end := h.store.Counts(), h.now.Add(time.Hour)
 	for {
@@ -187,8 +187,8 @@
 	after := h.store.Counts()
 	holders, taken := 0, uint64(0)
 	for _, k := range keepers {
-		taken += k.figures.taken.Load()
-		if k.figures.holds.Load() {
+		taken += k.stats.taken.Load()
+		if k.stats.holdsLease.Load() {
 			holders++
 		}
 	}
--- a/internal/node/mesh_test.go
+++ b/internal/node/mesh_test.go
@@ -30,9 +30,9 @@
 
 const service = "berths"
 
-// patience bounds a whole test, so that one that hangs ends; no verdict depends
+// testTimeout bounds a whole test, so that one that hangs ends; no verdict depends
 // on it.
-const patience = 2 * time.Minute
+const testTimeout = 2 * time.Minute
 
 // testMesh is a local mesh whose service "berths" is held by some of its VMs.
 type testMesh struct {
@@ -47,7 +47,7 @@
 // each node is made of.
 func startMesh(t *testing.T, vms int, change func(*localmesh.VM, *node.Options)) *testMesh {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	w := &testMesh{t: t, ctx: ctx}
 	m, err := localmesh.Start(localmesh.Options{
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -83,7 +83,7 @@
 	p.flag("marlpass_node_leaving", n.leaving.Load())
 	p.flag("marlpass_node_superseded", n.superseded.Load())
 	p.gauge("marlpass_node_calls_in_flight", float64(n.InFlight()))
-	cpu, wall := n.quiet.totals()
+	cpu, wall := n.controlCPU.totals()
 	p.gauge("marlpass_control_cpu_seconds", cpu)
 	p.gauge("marlpass_control_cpu_observed_seconds", wall)
 	for name, k := range n.control.trust.keepers() {
--- a/internal/node/metrics_control.go
+++ b/internal/node/metrics_control.go
@@ -19,18 +19,18 @@
 }
 
 func (c *control) writeConfig(p page) {
-	stamp := c.spread.Stamp()
+	stamp := c.distributor.Stamp()
 	p.gauge("marlpass_config_version_held", float64(stamp.Version.Number))
 	p.gauge("marlpass_config_version_in_force", float64(c.n.Version().Number))
 	if c := stamp.Confirmed; c != nil {
 		p.gauge("marlpass_config_confirmed_age_seconds", (time.Duration(c.AgeMs) * time.Millisecond).Seconds())
 	}
 	p.flag("marlpass_config_refused", c.n.store.Refused() != nil)
-	p.flag("marlpass_config_feeder", c.spread.Feeder())
+	p.flag("marlpass_config_feeder", c.distributor.Feeder())
 	for kind, n := range c.findings.values() {
 		p.counter("marlpass_config_findings_total", n, "kind", kind)
 	}
-	if list := c.spread.Timeline(); len(list) > 0 {
+	if list := c.distributor.Timeline(); len(list) > 0 {
 		t := list[len(list)-1]
 		p.gauge("marlpass_config_last_spread_seconds", t.InForce.Sub(t.Accepted).Seconds())
 	}
@@ -68,8 +68,8 @@
 }
 
 func (c *control) writeMaintenance(p page) {
-	f := &c.maintainer.figures
-	p.flag("marlpass_maintenance_lease_held", f.holds.Load())
+	f := &c.maintainer.stats
+	p.flag("marlpass_maintenance_lease_held", f.holdsLease.Load())
 	p.counter("marlpass_maintenance_lease_taken_total", f.taken.Load())
 	p.counter("marlpass_maintenance_lease_lost_total", f.lost.Load())
 	p.counter("marlpass_maintenance_failures_total", f.failed.Load())
@@ -80,7 +80,7 @@
 // writeAges tells how old is what this node knows. An age is left out as long as
 // nothing was heard at all.
 func (c *control) writeAges(p page, now time.Time) {
-	if at := c.heardAt.Load(); at != 0 {
+	if at := c.lastHeardMs.Load(); at != 0 {
 		p.gauge("marlpass_peers_heard_age_seconds", now.Sub(time.UnixMilli(at)).Seconds())
 	}
 	if c.client == nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -82,20 +82,20 @@
 	// changed holds an element when refresh has something to look at.
 	changed chan struct{}
 	leaving atomic.Bool
-	// carries says that the node holds a version it may carry traffic with.
-	carries atomic.Bool
-	start   *start
+	// takesCalls says that the node holds a version it may carry traffic with.
+	takesCalls atomic.Bool
+	start      *startup
 	// superseded says that another process runs under this VM's ID.
 	superseded atomic.Bool
 	operators  *admin.Operators
-	quiet      *controlCPUMeter
+	controlCPU *controlCPUMeter
 	parts      *parts
 	once       sync.Once
 }
 
 // New opens the sockets of a node and wires its parts. Nothing is served yet.
 func New(o Options) (*Node, error) {
-	n := &Node{o: o, set: o.Settings, log: o.Log, parts: newParts(), changed: make(chan struct{}, 1), start: newStart(time.Now())}
+	n := &Node{o: o, set: o.Settings, log: o.Log, parts: newParts(), changed: make(chan struct{}, 1), start: newStartup(time.Now())}
 	n.views.OnChange(n.wake)
 	store, err := config.NewStore(compile)
 	if err != nil {
@@ -142,7 +142,7 @@
 	if n.servers, err = newServers(n); err != nil {
 		return err
 	}
-	n.quiet = &controlCPUMeter{calls: &n.servers.calls}
+	n.controlCPU = &controlCPUMeter{calls: &n.servers.calls}
 	return nil
 }
 
@@ -160,12 +160,12 @@
 	case n.superseded.Load():
 		return false, "another process runs under this VM's id"
 	}
-	if ok, why := n.control.spread.Ready(); !ok {
+	if ok, why := n.control.distributor.Ready(); !ok {
 		return false, why
 	}
 	// Calls go by what refresh noted, a moment later: a load balancer told
 	// "ready" before that would send calls that are refused as not ready.
-	if !n.carries.Load() {
+	if !n.takesCalls.Load() {
 		return false, "the node is about to take calls"
 	}
 	return true, ""
@@ -183,7 +183,7 @@
 	n.control.start(n.parts)
 	n.servers.start(n.parts)
 	n.parts.run("refresh", func(ctx context.Context) error { n.refresh(ctx); return nil })
-	n.parts.run("quiet", func(ctx context.Context) error { n.quiet.run(ctx); return nil })
+	n.parts.run("quiet", func(ctx context.Context) error { n.controlCPU.run(ctx); return nil })
 	n.parts.run("discover", func(ctx context.Context) error { n.discover(ctx); <-ctx.Done(); return nil })
 	n.parts.run("once", func(ctx context.Context) error { n.calls.runBackground(ctx); return nil })
 	n.parts.run("rollouts", func(ctx context.Context) error { n.rollouts.run(ctx); return nil })
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -18,24 +18,24 @@
 	"github.com/marlpass/marlpass/internal/settings"
 )
 
-// testBound ends a test that waits for what does not come.
-const testBound = time.Minute
+// operatorTestTimeout ends a test that waits for what does not come.
+const operatorTestTimeout = time.Minute
 
 const otherToken = "token-of-the-harbour"
 
-// yard is a mesh of four nodes in two data centres, with a gate between each
+// operatorMesh is a mesh of four nodes in two data centres, with a gate between each
 // node and the platform, and operators of two teams.
-type yard struct {
+type operatorMesh struct {
 	*localmesh.Mesh
-	ctx   context.Context
-	gates []*platformProxy
+	ctx     context.Context
+	proxies []*platformProxy
 }
 
-func newYard(t *testing.T) *yard {
+func newOperatorMesh(t *testing.T) *operatorMesh {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testBound)
+	ctx, cancel := context.WithTimeout(context.Background(), operatorTestTimeout)
 	t.Cleanup(cancel)
-	y := &yard{ctx: ctx}
+	y := &operatorMesh{ctx: ctx}
 	sum := sha256.Sum256([]byte(otherToken))
 	other := settings.Operator{Name: "kumari", Team: "harbour", TokenSHA256: hex.EncodeToString(sum[:])}
 	var err error
@@ -47,7 +47,7 @@
 		},
 		Node: func(_ *localmesh.VM, o *node.Options) {
 			g := newPlatformProxy(t, o.Settings.Platform.URL)
-			y.gates = append(y.gates, g)
+			y.proxies = append(y.proxies, g)
 			o.Settings.Platform.URL = g.url
 			o.Settings.Operators = append(o.Settings.Operators, other)
 		},
@@ -62,13 +62,13 @@
 	return y
 }
 
-func (y *yard) cut(on bool) {
-	for _, g := range y.gates {
+func (y *operatorMesh) cut(on bool) {
+	for _, g := range y.proxies {
 		g.down.Store(on)
 	}
 }
 
-func (y *yard) as(t *testing.T, vm int, token string) *adminapi.Client {
+func (y *operatorMesh) as(t *testing.T, vm int, token string) *adminapi.Client {
 	t.Helper()
 	c, err := y.AdminAs(y.VMs[vm], token)
 	if err != nil {
@@ -77,11 +77,13 @@
 	return c
 }
 
-func (y *yard) admin(t *testing.T, vm int) *adminapi.Client { return y.as(t, vm, localmesh.Token) }
+func (y *operatorMesh) admin(t *testing.T, vm int) *adminapi.Client {
+	return y.as(t, vm, localmesh.Token)
+}
 
 // state states the service berths and the target lookups, versions 1 and 2,
 // and waits until they are in force everywhere.
-func (y *yard) state(t *testing.T) {
+func (y *operatorMesh) state(t *testing.T) {
 	t.Helper()
 	c := y.admin(t, 1)
 	if _, err := c.PutService(y.ctx, &adminapi.ServiceSpec{}, adminapi.PutServiceParams{Name: "berths"}); err != nil {
@@ -108,7 +110,7 @@
 }
 
 // eventually calls ok until it holds or the test's bound is over.
-func (y *yard) eventually(t *testing.T, what string, ok func() bool) {
+func (y *operatorMesh) eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for !ok() {
 		select {
@@ -121,7 +123,7 @@
 
 // get makes one call through the VM's node and returns the status, or 0 when
 // there was no answer.
-func (y *yard) get(t *testing.T, vm int, path string, header ...string) int {
+func (y *operatorMesh) get(t *testing.T, vm int, path string, header ...string) int {
 	t.Helper()
 	url := "http://" + y.VMs[vm].Node().Addrs().Callers + path
 	req, err := http.NewRequestWithContext(y.ctx, http.MethodGet, url, nil)
@@ -139,7 +141,7 @@
 	return resp.StatusCode
 }
 
-func (y *yard) startBackend(t *testing.T, vm int, instance string) {
+func (y *operatorMesh) startBackend(t *testing.T, vm int, instance string) {
 	t.Helper()
 	set := backend.Defaults()
 	set.Service, set.Instance, set.ColdStart.Duration = "berths", instance, 0
@@ -158,7 +160,7 @@
 }
 
 func TestOperatorReadsBackWhatWasStated(t *testing.T) {
-	y := newYard(t)
+	y := newOperatorMesh(t)
 	y.state(t)
 	c := y.admin(t, 3)
 	h, err := c.GetHistory(y.ctx, adminapi.GetHistoryParams{Limit: adminapi.NewOptInt(1)})
@@ -201,7 +203,7 @@
 // Calls go in at two nodes, and the operator asks a third: the figures are those
 // of the whole mesh, and nothing needs attention. Then a backend server drains.
 func TestHandoverTellsOfTheWholeMesh(t *testing.T) {
-	y := newYard(t)
+	y := newOperatorMesh(t)
 	y.state(t)
 	y.startBackend(t, 0, "a")
 	y.startBackend(t, 2, "b")
@@ -249,7 +251,7 @@
 }
 
 func TestRefusedWithTheReason(t *testing.T) {
-	y := newYard(t)
+	y := newOperatorMesh(t)
 	y.state(t)
 	c := y.admin(t, 2)
 	spec := lookups()
@@ -277,11 +279,11 @@
 // told "accepted", nobody would look. It is unknown, and the id that came with
 // it settles it when the platform is back.
 func TestUnknownIsSettledLater(t *testing.T) {
-	y := newYard(t)
+	y := newOperatorMesh(t)
 	y.state(t)
 	id := "lost-answer"
-	y.gates[0].onDropped = func() { y.cut(true) }
-	y.gates[0].dropAnswerOf.Store(&id)
+	y.proxies[0].onDropped = func() { y.cut(true) }
+	y.proxies[0].dropAnswerOf.Store(&id)
 	c := y.admin(t, 0)
 	spec := lookups()
 	spec.Priority.SetTo(7)
@@ -310,9 +312,9 @@
 // One node's way to the platform is cut while the others reach it. The operator
 // who happens to ask that node states a change: a peer carries it.
 func TestPeerCarriesACommand(t *testing.T) {
-	y := newYard(t)
+	y := newOperatorMesh(t)
 	y.state(t)
-	y.gates[0].down.Store(true)
+	y.proxies[0].down.Store(true)
 	c := y.admin(t, 0)
 	spec := lookups()
 	spec.Priority.SetTo(7)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -17,13 +17,13 @@
 
 // Heard implements peer.Distributor, and takes what answers tell.
 func (c *control) Heard(e *peerpb.Envelope) {
-	c.heardAt.Store(time.Now().UnixMilli())
-	c.spread.Heard(e)
+	c.lastHeardMs.Store(time.Now().UnixMilli())
+	c.distributor.Heard(e)
 }
 
 // ServePull implements peer.Distributor.
 func (c *control) ServePull(q *peerpb.PullRequest) (*peerpb.PullResponse, error) {
-	return c.spread.ServePull(q)
+	return c.distributor.ServePull(q)
 }
 
 // peerCommands carries out commands that other nodes could not.
@@ -44,9 +44,9 @@
 	return json.Marshal(res)
 }
 
-// commandPeers is how many peers are asked to carry a command, if there are so
+// commandFanOut is how many peers are asked to carry a command, if there are so
 // many; one of each other data centre is always asked.
-const commandPeers = 3
+const commandFanOut = 3
 
 // submitPeers sends commands that this node cannot commit to peers that may.
 type submitPeers struct{ c *control }
@@ -64,7 +64,7 @@
 	addrs := s.addrs()
 	answers := make(chan peerAnswer, len(addrs))
 	for _, addr := range addrs {
-		go func() { answers <- s.ask(ctx, addr, b) }()
+		go func() { answers <- s.submitTo(ctx, addr, b) }()
 	}
 	out := peerAnswer{err: command.ErrNoPeer}
 	for range addrs {
@@ -93,7 +93,7 @@
 		a.res.Outcome == command.Refused && !a.res.Reason.Retryable())
 }
 
-func (s submitPeers) ask(ctx context.Context, addr string, cmd []byte) (out peerAnswer) {
+func (s submitPeers) submitTo(ctx context.Context, addr string, cmd []byte) (out peerAnswer) {
 	b, err := s.c.peers.Submit(ctx, addr, cmd)
 	if err == nil {
 		err = json.Unmarshal(b, &out.res)
@@ -129,11 +129,11 @@
 		}
 	}
 	all := append(far, near...)
-	return all[:min(len(all), max(commandPeers, len(far)))]
+	return all[:min(len(all), max(commandFanOut, len(far)))]
 }
 
-// alertWidth bounds the alerts sent at once.
-const alertWidth = 16
+// maxConcurrentAlerts bounds the alerts sent at once.
+const maxConcurrentAlerts = 16
 
 // alert tells the nodes that hold a service of notices, at once. Other entry
 // nodes hear by the membership; what must not wait is that the next endpoint
@@ -144,7 +144,7 @@
 		msgs[i] = &peerpb.Notice{Kind: n.Kind, Id: n.ID, Detail: n.Detail, ExpiresMs: n.Expires}
 	}
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, alertWidth)
+	slots := make(chan struct{}, maxConcurrentAlerts)
 	for _, addr := range c.holders(service) {
 		slots <- struct{}{}
 		wg.Go(func() {
--- a/internal/node/reader.go
+++ b/internal/node/reader.go
@@ -93,7 +93,7 @@
 // newest first. A version that came in a snapshot is left out: when it was
 // accepted is not known here.
 func (n *Node) spreadTimes() []query.VersionTime {
-	timeline := n.control.spread.Timeline()
+	timeline := n.control.distributor.Timeline()
 	out := make([]query.VersionTime, 0, len(timeline))
 	for i := len(timeline) - 1; i >= 0; i-- {
 		t := timeline[i]
--- a/internal/node/refresh.go
+++ b/internal/node/refresh.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	refreshGap = 50 * time.Millisecond // least time between two refreshes
-	watchEvery = time.Second           // looking whether the VM's ID was taken
+	minRefreshInterval      = 50 * time.Millisecond // least time between two refreshes
+	supersededCheckInterval = time.Second           // looking whether the VM's ID was taken
 )
 
 // refresh brings what is derived from the membership view and from the version
@@ -21,13 +21,13 @@
 // Changes that come together are taken in together: while a data centre returns,
 // views follow each other faster than each could be worked on.
 func (n *Node) refresh(ctx context.Context) {
-	var done refreshed
+	var done refreshState
 	for ctx.Err() == nil {
 		n.refreshOnce(time.Now(), &done)
-		_ = wait.For(ctx, refreshGap)
-		every := watchEvery
-		if !n.carries.Load() {
-			every = refreshGap
+		_ = wait.For(ctx, minRefreshInterval)
+		every := supersededCheckInterval
+		if !n.takesCalls.Load() {
+			every = minRefreshInterval
 		}
 		timer := time.NewTimer(every)
 		select {
@@ -39,14 +39,14 @@
 	}
 }
 
-// refreshed is what refresh has taken in.
-type refreshed struct {
+// refreshState is what refresh has taken in.
+type refreshState struct {
 	view     *membership.View
 	snapshot *config.Snapshot
 	refused  *config.Refused
 }
 
-func (n *Node) refreshOnce(now time.Time, done *refreshed) {
+func (n *Node) refreshOnce(now time.Time, done *refreshState) {
 	v, f, r := n.views.Load(), n.store.Load(), n.store.Refused()
 	if v != done.view {
 		n.logView(done.view, v)
@@ -55,15 +55,15 @@
 		n.calls.retries.setNodeCount(len(v.Records))
 	}
 	if f.Snapshot != done.snapshot || r != done.refused {
-		n.control.applied(f.Snapshot, r)
+		n.control.publishVersion(f.Snapshot, r)
 	}
 	if v != done.view || f.Snapshot != done.snapshot {
 		n.updateGates(now)
 	}
-	*done = refreshed{v, f.Snapshot, r}
-	n.watchID()
-	ok, _ := n.control.spread.Ready()
-	n.carries.Store(ok && !n.superseded.Load())
+	*done = refreshState{v, f.Snapshot, r}
+	n.checkSuperseded()
+	ok, _ := n.control.distributor.Ready()
+	n.takesCalls.Store(ok && !n.superseded.Load())
 	if ok {
 		n.start.end()
 	}
@@ -77,15 +77,15 @@
 	}
 }
 
-// wakingStore is a node's store that wakes refresh when a version was offered.
+// notifyingStore is a node's store that wakes refresh when a version was offered.
 //
 // The gates follow at once, and not with the refresh: entry nodes send calls of
 // a new class as soon as they run the version, and a gate that does not know the
 // class yet would run them without its share, rate and priority.
-type wakingStore struct{ n *Node }
+type notifyingStore struct{ n *Node }
 
 // Offer implements distribute.Store.
-func (s wakingStore) Offer(snap *config.Snapshot) (bool, error) {
+func (s notifyingStore) Offer(snap *config.Snapshot) (bool, error) {
 	defer s.n.wake()
 	inForce, err := s.n.store.Offer(snap)
 	if inForce {
@@ -94,7 +94,7 @@
 	return inForce, err
 }
 
-// watchID stops the traffic of a node whose VM's ID another process has taken.
+// checkSuperseded stops the traffic of a node whose VM's ID another process has taken.
 //
 // It guards against two nodes under one name: a VM was replaced while its old
 // machine was cut off or paused, and that one comes back. The mesh believes the
@@ -102,7 +102,7 @@
 // elsewhere; whoever still reaches it would run on an old configuration. It
 // stays up, not ready, and does not end: a supervisor would start it anew, as
 // the later one, and the two would take the name from each other in turns.
-func (n *Node) watchID() {
+func (n *Node) checkSuperseded() {
 	if n.superseded.Load() {
 		return
 	}
@@ -126,7 +126,7 @@
 // backendsChanged takes in what backend servers announced.
 func (n *Node) backendsChanged(changes []announce.Change) {
 	n.updateGates(time.Now())
-	n.control.backends()
+	n.control.publishBackends()
 	for _, c := range changes {
 		n.log.Info().Str("service", c.Backend.Service).Str("instance", c.Backend.Instance).
 			Stringer("change", c.Kind).Msg("announce: backend server changed")
--- a/internal/node/report.go
+++ b/internal/node/report.go
@@ -19,18 +19,18 @@
 )
 
 // Bounds of asking all nodes what they counted. One handover asks each node
-// once; operators who ask within reportsFor of each other share the answers.
+// once; operators who ask within reportCacheTTL of each other share the answers.
 const (
-	reportBound = 2 * time.Second
-	reportWidth = 256
-	reportsFor  = 5 * time.Second
+	reportTimeout        = 2 * time.Second
+	maxConcurrentReports = 256
+	reportCacheTTL       = 5 * time.Second
 )
 
 // reports tells what this node counted of its calls, and asks the others.
 type reports struct {
-	n    *Node
-	one  singleflight.Group
-	last atomic.Pointer[query.Reports]
+	n       *Node
+	queries singleflight.Group
+	last    atomic.Pointer[query.Reports]
 }
 
 // Report implements peer.Reporter.
@@ -86,26 +86,26 @@
 // the bound. It doesn't end with the operator's request: another one may wait
 // for the same answers.
 func (r *reports) collect(ctx context.Context) *query.Reports {
-	if last := r.last.Load(); last != nil && time.Since(last.At) < reportsFor {
+	if last := r.last.Load(); last != nil && time.Since(last.At) < reportCacheTTL {
 		return last
 	}
-	v, _, _ := r.one.Do("", func() (any, error) {
-		got := r.ask(context.WithoutCancel(ctx))
+	v, _, _ := r.queries.Do("", func() (any, error) {
+		got := r.queryNodes(context.WithoutCancel(ctx))
 		r.last.Store(got)
 		return got, nil
 	})
 	return v.(*query.Reports)
 }
 
-func (r *reports) ask(ctx context.Context) *query.Reports {
-	ctx, cancel := context.WithTimeout(ctx, reportBound)
+func (r *reports) queryNodes(ctx context.Context) *query.Reports {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	peers := reporting(r.n.views.Load())
+	peers := reportingNodes(r.n.views.Load())
 	out := query.NewReports()
 	out.Asked = len(peers) + 1
 	var mu sync.Mutex // guards out; not held while a peer is asked
 	var g errgroup.Group
-	g.SetLimit(reportWidth)
+	g.SetLimit(maxConcurrentReports)
 	for _, p := range peers {
 		g.Go(func() error {
 			packed, err := r.n.control.peers.Report(ctx, p.ID, p.ControlAddr)
@@ -114,7 +114,7 @@
 			// Under the lock, so that one report at a time is unpacked: many
 			// would take tens of megabytes.
 			if err == nil {
-				err = addTo(out, p.ID, packed)
+				err = addReport(out, p.ID, packed)
 			}
 			if err != nil {
 				out.Missing = append(out.Missing, p.ID)
@@ -130,7 +130,7 @@
 	return out
 }
 
-func addTo(out *query.Reports, vm string, packed *peerpb.Packed) error {
+func addReport(out *query.Reports, vm string, packed *peerpb.Packed) error {
 	report, err := unpackReport(packed)
 	if err == nil {
 		out.Add(reportOf(vm, report))
@@ -138,10 +138,10 @@
 	return err
 }
 
-// reporting returns the other nodes that can be asked. Those that the
+// reportingNodes returns the other nodes that can be asked. Those that the
 // membership suspects are listed as silent anyway, and asking them would only
 // use up the bound.
-func reporting(v *membership.View) []membership.VM {
+func reportingNodes(v *membership.View) []membership.VM {
 	var out []membership.VM
 	for id, r := range v.Records {
 		if id != v.Self && (r.State == membership.VMAlive || r.State == membership.VMLeaving) {
--- a/internal/node/report_test.go
+++ b/internal/node/report_test.go
@@ -20,25 +20,25 @@
 
 // Size of the mesh that the cost of a handover is measured for.
 const (
-	townNodes    = 1200
-	townServices = 61
-	townClasses  = 3 // of each service
-	townCalls    = 110_000 * 60 / townNodes
+	fleetNodes    = 1200
+	fleetServices = 61
+	fleetClasses  = 3 // of each service
+	fleetCalls    = 110_000 * 60 / fleetNodes
 )
 
-// busy is a node whose meters counted a minute of the mesh's full load, over all
+// fullLoadReports is a node whose meters counted a minute of the mesh's full load, over all
 // classes alike: the largest report there is.
-func busy(now time.Time) (*reports, []*config.Target) {
+func fullLoadReports(now time.Time) (*reports, []*config.Target) {
 	n := &Node{self: membership.VM{ID: "neg-shed-001"}}
 	n.calls = &callPath{meters: proxy.NewMeters(), pickers: newPickers(n.self, false)}
 	rng := rand.New(rand.NewPCG(1, 2))
 	var targets []*config.Target
-	for i := range townServices * townClasses {
+	for i := range fleetServices * fleetClasses {
 		targets = append(targets, &config.Target{
 			Name: fmt.Sprintf("class-of-work-%03d", i), Service: "berths", AnswerWithinMS: 200,
 		})
 	}
-	for i := range townCalls {
+	for i := range fleetCalls {
 		m := n.calls.meters.Class(targets[i%len(targets)])
 		m.Answered(now, time.Duration(float64(20*time.Millisecond)*rng.ExpFloat64()), false)
 		if i%100 == 0 {
@@ -50,7 +50,7 @@
 
 func TestReportCarriesTheCounts(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	r, targets := busy(now)
+	r, targets := fullLoadReports(now)
 	packed, err := packReport(r.own(now))
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 			t.Errorf("%+v", c)
 		}
 	}
-	if calls != townCalls || shed != townCalls/100 {
+	if calls != fleetCalls || shed != fleetCalls/100 {
 		t.Errorf("%d calls, %d refused", calls, shed)
 	}
 }
@@ -89,14 +89,14 @@
 // memory than the bound.
 func FuzzUnpackReport(f *testing.F) {
 	now := time.Unix(1_700_000_000, 0)
-	r, _ := busy(now)
+	r, _ := fullLoadReports(now)
 	packed, err := packReport(r.own(now))
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(packed.Data, true)
 	f.Add([]byte{0x0a, 0x03, 0x0a, 0x01, 'a'}, false)
-	f.Add(reportEncoder.EncodeAll(make([]byte, 4*maxReport), nil), true)
+	f.Add(reportEncoder.EncodeAll(make([]byte, 4*maxReportBytes), nil), true)
 	f.Fuzz(func(t *testing.T, data []byte, z bool) {
 		got, err := unpackReport(&peerpb.Packed{Data: data, Zstd: z})
 		if err == nil {
@@ -111,7 +111,7 @@
 // it, and its size.
 func BenchmarkReport(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
-	r, _ := busy(now)
+	r, _ := fullLoadReports(now)
 	b.ReportAllocs()
 	var wire, plain int
 	for b.Loop() {
@@ -130,7 +130,7 @@
 // node that answers.
 func BenchmarkHandover(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
-	r, targets := busy(now)
+	r, targets := fullLoadReports(now)
 	packed, err := packReport(r.own(now))
 	if err != nil {
 		b.Fatal(err)
@@ -138,8 +138,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		all := query.NewReports()
-		for range townNodes {
-			if err := addTo(all, "vm", packed); err != nil {
+		for range fleetNodes {
+			if err := addReport(all, "vm", packed); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -151,12 +151,12 @@
 // all are kept, and what their sums take.
 func BenchmarkHeld(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
-	r, _ := busy(now)
+	r, _ := fullLoadReports(now)
 	own := r.own(now)
 	b.Run("reports", func(b *testing.B) {
 		held(b, func() any {
 			var all []query.NodeReport
-			for range townNodes {
+			for range fleetNodes {
 				all = append(all, reportOf("vm", own))
 			}
 			return all
@@ -165,7 +165,7 @@
 	b.Run("sums", func(b *testing.B) {
 		held(b, func() any {
 			all := query.NewReports()
-			for range townNodes {
+			for range fleetNodes {
 				all.Add(reportOf("vm", own))
 			}
 			return all
--- a/internal/node/report_wire.go
+++ b/internal/node/report_wire.go
@@ -12,16 +12,16 @@
 	"github.com/marlpass/marlpass/internal/query"
 )
 
-// maxReport bounds a report that is read, in bytes after unpacking: ten times
+// maxReportBytes bounds a report that is read, in bytes after unpacking: ten times
 // the largest one of a mesh with 61 services.
-const maxReport = 256 << 10
+const maxReportBytes = 256 << 10
 
 // errBadReport means that a peer's report can't be read.
 var errBadReport = errors.New("node: a report can't be read")
 
 var (
 	reportEncoder = must(zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1)))
-	reportDecoder = must(zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxReport)))
+	reportDecoder = must(zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxReportBytes)))
 )
 
 // must is for constructors that fail only for options that are not valid.
@@ -53,7 +53,7 @@
 			return nil, fmt.Errorf("%w: %w", errBadReport, err)
 		}
 	}
-	if len(data) > maxReport {
+	if len(data) > maxReportBytes {
 		return nil, fmt.Errorf("%w: it has %d bytes", errBadReport, len(data))
 	}
 	r := new(peerpb.Report)
--- a/internal/node/rollout_peer.go
+++ b/internal/node/rollout_peer.go
@@ -82,7 +82,7 @@
 	}
 	r.mu.Unlock()
 	if accepted {
-		r.n.control.backends()
+		r.n.control.publishBackends()
 	} else {
 		r.log.Warn().Str("service", i.Service).Str("from", q.GetFrom()).Uint64("order", i.Order).Uint64("token", i.Token).
 			Msg("rollout: ignore an instruction older than what is known")
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -246,7 +246,7 @@
 				continue
 			}
 		}
-		r.n.control.backends()
+		r.n.control.publishBackends()
 	}
 }
 
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -24,7 +24,7 @@
 	n *Node
 	// traffic carries calls; side serves operators, backend servers and
 	// metrics.
-	traffic, side []bound
+	traffic, side []boundServer
 	// callers are those of traffic whose clients may send ahead.
 	callers  []*pipeline.Server
 	announce *announce.Server
@@ -33,8 +33,8 @@
 	conns    *telemetry.Conns // of other nodes that send calls
 }
 
-// bound is a server with the socket it serves.
-type bound struct {
+// boundServer is a server with the socket it serves.
+type boundServer struct {
 	server server
 	ln     net.Listener
 	tls    *tls.Config
@@ -61,8 +61,8 @@
 	s.conns = telemetry.NewConns(log, "calls")
 	callsServer := newServer(s.calls.Handler(n.calls.dest), log)
 	callsServer.ConnState = s.conns.Note
-	side := func(ln net.Listener, h http.Handler, t *tls.Config) bound {
-		return bound{server: newSideServer(h, log), ln: ln, tls: t}
+	side := func(ln net.Listener, h http.Handler, t *tls.Config) boundServer {
+		return boundServer{server: newSideServer(h, log), ln: ln, tls: t}
 	}
 	c := n.control
 	s.callers = []*pipeline.Server{
@@ -71,12 +71,12 @@
 	}
 	calls := &drain.Server{HTTP: callsServer, TLS: c.trust.server()}
 	s.stop = drain.Servers{Calls: &s.calls, List: []drain.Stopper{s.callers[0], s.callers[1], calls}}
-	s.traffic = []bound{
+	s.traffic = []boundServer{
 		{server: s.callers[0], ln: n.ln.callers},
 		{server: s.callers[1], ln: n.ln.internal},
 		{server: calls, ln: n.ln.calls},
 	}
-	s.side = []bound{
+	s.side = []boundServer{
 		side(n.ln.admin, adminHandler, c.trust.admin()),
 		side(n.ln.announce, announceHandler, nil),
 		side(n.ln.metrics, n.metricsHandler(), nil),
@@ -155,7 +155,7 @@
 
 func (s *servers) start(p *parts) {
 	p.run("announcements", func(ctx context.Context) error { s.announce.Run(ctx); return nil })
-	for _, list := range [][]bound{s.side, s.traffic} {
+	for _, list := range [][]boundServer{s.side, s.traffic} {
 		for _, b := range list {
 			p.run("listener "+b.ln.Addr().String(), func(context.Context) error {
 				return serve(b.server, b.ln, b.tls)
@@ -168,10 +168,10 @@
 // connection.
 func (s *servers) leave() { s.calls.StartDraining() }
 
-// giveUpFor is how long answers may take to go out once the calls in flight were
+// cancelTimeout is how long answers may take to go out once the calls in flight were
 // given up: some ways to the farthest data centre and back. It fits into what a stop
 // keeps free of the platform's grace.
-const giveUpFor = 300 * time.Millisecond
+const cancelTimeout = 300 * time.Millisecond
 
 // drain closes the sockets for calls, and waits, up to limit, for the calls in flight and for those
 // that still come on connections. It returns how many calls were left, which were given up.
@@ -184,14 +184,14 @@
 	}
 	left := s.calls.InFlight()
 	s.n.log.Warn().Err(err).Int64("calls", left).Msg("node: connections were still open at the drain limit, they are closed at once")
-	s.giveUp(ctx)
+	s.cancelCalls(ctx)
 	return left
 }
 
-// giveUp ends the calls of callers with an answer of this node's own, behind which
+// cancelCalls ends the calls of callers with an answer of this node's own, behind which
 // the answers that are ready still go out.
-func (s *servers) giveUp(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, giveUpFor)
+func (s *servers) cancelCalls(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
 	var all sync.WaitGroup
 	for _, p := range s.callers {
@@ -206,7 +206,7 @@
 
 // close ends all servers at once.
 func (s *servers) close() {
-	for _, list := range [][]bound{s.traffic, s.side} {
+	for _, list := range [][]boundServer{s.traffic, s.side} {
 		for _, b := range list {
 			b.server.Close()
 		}
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -12,7 +12,7 @@
 // could have answered most within their class's aim.
 func TestCallsWaitForAStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStart(time.Now())
+		s := newStartup(time.Now())
 		time.AfterFunc(400*time.Millisecond, s.end)
 		time.Sleep(100 * time.Millisecond)
 		waited(t, s, t.Context(), 300*time.Millisecond)
@@ -24,17 +24,17 @@
 // not kept: the first ones wait a moment, those who come later are told at once.
 func TestCallsDontWaitForAStartThatFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStart(time.Now())
-		waited(t, s, t.Context(), startWait)
+		s := newStartup(time.Now())
+		waited(t, s, t.Context(), startupMaxWait)
 		leaving, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		waited(t, s, leaving, 50*time.Millisecond)
-		time.Sleep(startFor)
+		time.Sleep(startupWindow)
 		waited(t, s, t.Context(), 0)
 	})
 }
 
-func waited(t *testing.T, s *start, ctx context.Context, want time.Duration) {
+func waited(t *testing.T, s *startup, ctx context.Context, want time.Duration) {
 	t.Helper()
 	from := time.Now()
 	s.Await(ctx)
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	leaveNotice = 2 * time.Second // for the word of leaving to get around
-	stopGrace   = 5 * time.Second // for everything but calls in flight
+	defaultDrainNotice = 2 * time.Second // for the word of leaving to get around
+	shutdownGrace      = 5 * time.Second // for everything but calls in flight
 )
 
 // ErrDrainLimit means that a planned stop cut off calls, because they were
@@ -38,10 +38,10 @@
 	n.leaving.Store(true)
 	n.log.Info().Msg("node: leaving the mesh")
 	n.servers.leave()
-	n.giveNotice(ctx)
+	n.announceLeaving(ctx)
 	n.calls.drain()
-	limit := n.set.Drain.LimitWithin(n.set.Drain.NoticeOr(leaveNotice))
-	ctx, cancel := context.WithTimeout(ctx, limit+stopGrace)
+	limit := n.set.Drain.LimitWithin(n.set.Drain.NoticeOr(defaultDrainNotice))
+	ctx, cancel := context.WithTimeout(ctx, limit+shutdownGrace)
 	defer cancel()
 	cut := n.servers.drain(ctx, limit)
 	n.calls.shutdown()
@@ -56,12 +56,12 @@
 	return nil
 }
 
-// giveNotice goes on taking calls until whoever sends them has learned that the
+// announceLeaving goes on taking calls until whoever sends them has learned that the
 // node leaves. Callers learn it by its readiness, which they ask for now and then,
 // and the other nodes at once by the membership. So those may be told later: till
 // then the backend server here runs calls of the whole mesh.
-func (n *Node) giveNotice(ctx context.Context) {
-	notice, word := n.set.Drain.NoticeOr(leaveNotice), n.set.Drain.Word.Duration
+func (n *Node) announceLeaving(ctx context.Context) {
+	notice, word := n.set.Drain.NoticeOr(defaultDrainNotice), n.set.Drain.Word.Duration
 	if word > 0 {
 		_ = wait.For(ctx, notice-word)
 		notice = word
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -200,7 +200,7 @@
 
 // A listener of a node breaks. The node must tell, so that the process ends and
 // is started anew: half a node still answers probes, and calls are sent to it.
-func TestFailedPartIsTold(t *testing.T) {
+func TestFailedPartIsReported(t *testing.T) {
 	t.Parallel()
 	w := startMesh(t, 2, nil)
 	n := w.VMs[0].Node()
--- a/internal/node/tls_test.go
+++ b/internal/node/tls_test.go
@@ -84,16 +84,16 @@
 	}
 }
 
-// switchboard leads connections to one address to another.
-type switchboard struct {
-	mu  sync.Mutex
-	led map[string]string
+// redirector leads connections to one address to another.
+type redirector struct {
+	mu        sync.Mutex
+	redirects map[string]string
 }
 
-func (s *switchboard) dialer(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
+func (s *redirector) dialer(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		s.mu.Lock()
-		if to := s.led[addr]; to != "" {
+		if to := s.redirects[addr]; to != "" {
 			addr = to
 		}
 		s.mu.Unlock()
@@ -101,20 +101,20 @@
 	}
 }
 
-func (s *switchboard) lead(from, to string) {
+func (s *redirector) redirect(from, to string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.led[from] = to
+	s.redirects[from] = to
 }
 
 // The address of a VM passes to another VM of the mesh while an entry node still
 // knows the old one under it. The call must not reach the VM that nobody chose,
 // and its caller must be told that it was not run, so that a booking may be sent
 // again.
-func TestAddressOfAnotherVMIsNotBelieved(t *testing.T) {
+func TestAddressOfAnotherVMIsRejected(t *testing.T) {
 	t.Parallel()
 	ca, root := trusttest.NewCA(t), t.TempDir()
-	board := &switchboard{led: make(map[string]string)}
+	board := &redirector{redirects: make(map[string]string)}
 	w := startMesh(t, 3, func(vm *localmesh.VM, o *node.Options) {
 		o.Settings.TLS = issue(ca, root, vm.ID)
 		if vm.ID == "neg-01" {
@@ -123,7 +123,7 @@
 	})
 	entry, old, other := w.VMs[0], w.VMs[1], w.VMs[2]
 	w.hold(old)
-	board.lead(old.Node().Addrs().Calls, other.Node().Addrs().Calls)
+	board.redirect(old.Node().Addrs().Calls, other.Node().Addrs().Calls)
 	a := w.ask(entry, http.MethodPost, book, "b1")
 	if a.notRun != call.ReasonUnreachable || a.status != http.StatusServiceUnavailable {
 		t.Errorf("got %s", a)
@@ -134,7 +134,7 @@
 	if runs, _ := w.runs(); runs != 0 {
 		t.Error("it was run")
 	}
-	board.lead(old.Node().Addrs().Calls, "")
+	board.redirect(old.Node().Addrs().Calls, "")
 	if a := w.ask(entry, http.MethodPost, book, "b2"); a.status != http.StatusOK {
 		t.Errorf("after the address came back: %s", a)
 	}
--- a/internal/node/view_log.go
+++ b/internal/node/view_log.go
@@ -9,9 +9,9 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// viewLines bounds the lines about single nodes for one view. While a mesh starts, or a data
+// maxViewLines bounds the lines about single nodes for one view. While a mesh starts, or a data
 // centre is lost or back, hundreds of nodes change at once, and each of them tells of all others.
-const viewLines = 12
+const maxViewLines = 12
 
 // viewChange is a node that differs between two views.
 type viewChange struct {
@@ -46,10 +46,10 @@
 	}
 	log := n.log.With().Str("part", "membership").Logger()
 	changes := viewChanges(n.self.ID, old, now)
-	for _, c := range changes[:min(len(changes), viewLines)] {
+	for _, c := range changes[:min(len(changes), maxViewLines)] {
 		c.write(log)
 	}
-	if more := len(changes) - viewLines; more > 0 {
+	if more := len(changes) - maxViewLines; more > 0 {
 		came, gone, changed := countChanges(changes)
 		log.Info().Int("came", came).Int("gone", gone).Int("changed", changed).Int("left_out", more).
 			Int("nodes", len(now.Records)).Msg("membership: many nodes are new, gone or changed")
--- a/internal/node/view_log_test.go
+++ b/internal/node/view_log_test.go
@@ -19,7 +19,7 @@
 	n := &Node{log: zerolog.New(&out), self: membership.VM{ID: "vm-0"}}
 	all := newTestView(vms)
 	n.logView(nil, all)
-	if lines := strings.Count(out.String(), "\n"); lines != viewLines+1 {
+	if lines := strings.Count(out.String(), "\n"); lines != maxViewLines+1 {
 		t.Errorf("%d lines about %d nodes", lines, vms)
 	}
 	if !strings.Contains(out.String(), `"came":1199,"gone":0,"changed":0,"left_out":1187,"nodes":1200`) {
--- a/internal/node/workspaces.go
+++ b/internal/node/workspaces.go
@@ -74,7 +74,7 @@
 // CheckKeys implements proxy.Workspaces.
 func (w *workspaces) CheckKeys(now time.Time) *call.Refusal {
 	bound := w.n.set.Workspaces.ConfirmWithin.Duration
-	versions, ok := w.n.control.spread.(assuredSource)
+	versions, ok := w.n.control.distributor.(assuredSource)
 	if bound == 0 || !ok {
 		return nil
 	}
