--- a/internal/node/backends.go
+++ b/internal/node/backends.go
@@ -7,11 +7,11 @@
 	"github.com/marlpass/marlpass/internal/proxy"
 )
 
-// errNotHeld refuses a call for a backend server that this node does not hold.
-// It is given before any byte of the call is sent on.
+// errNotHeld refuses a call for a backend server that is not on this VM. It is returned before any
+// byte of the call is forwarded.
 var errNotHeld = &call.Refusal{Reason: call.ReasonNotHeld}
 
-// backends gives the proxy the backend servers that announced themselves here.
+// backends looks up the backend servers that are announced at this node.
 type backends struct{ registry *announce.Registry }
 
 // Find implements proxy.Backends.
--- a/internal/node/callpath.go
+++ b/internal/node/callpath.go
@@ -53,7 +53,7 @@
 		gates:           newGates(),
 		dedup:           once.New(once.Options{Table: n.control.table, Holder: n.self.ID}),
 		upstreams:       n.upstreams(),
-		nodes:           n.upstreams().WithHandshake(n.control.trust.secure()),
+		nodes:           n.upstreams().WithHandshake(n.control.trust.handshake()),
 		meters:          proxy.NewMeters(),
 		retries:         &retries{set: n.set.Retries},
 		decisions:       decisions.New(telemetry.Part(n.log, "calls"), n.o.LostLines),
@@ -77,7 +77,7 @@
 		Spool: n.spool(), Link: link,
 	}))
 	c.entry = proxy.NewEntry(n.o.Policies.entryParts(proxy.EntryOptions{
-		Self: n.self.ID, Programs: programs, Readiness: n.start, Admitter: nodeAdmitter{c}, Pickers: c.pickers,
+		Self: n.self.ID, Programs: programs, Readiness: n.startup, Admitter: nodeAdmitter{c}, Pickers: c.pickers,
 		Retrier: c.retries, Suspects: c.suspects, Workspaces: n.workspaces, Local: c.dest, Upstreams: c.nodes,
 		Meters: c.meters, Tracer: tracer, Dialect: n.o.Dialect,
 		NoAttemptTimeout: n.o.Source != nil, Decisions: c.decisions,
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -24,17 +24,17 @@
 	"github.com/marlpass/marlpass/internal/wait"
 )
 
-// joinPollInterval is how often a starting node looks whether it was let in.
+// joinPollInterval is the interval at which a starting node checks whether it has joined.
 const joinPollInterval = 50 * time.Millisecond
 
-// joinTimeout is how long a starting node waits for the membership's first
-// contact before it looks for versions with what it has.
+// joinTimeout bounds how long a starting node waits to join the membership before it looks for
+// versions with the peers it knows.
 const joinTimeout = 3 * time.Second
 
-// distributor brings versions to this node and serves them to others: from the mesh's
-// own log by a distribute.Runner, or from elsewhere by a follow.Runner.
+// distributor gets versions for this node and serves them to others: from the mesh's own log by a
+// distribute.Runner, or from an external source by a follow.Runner.
 type distributor interface {
-	// Run returns an error if the node has to be started again.
+	// Run returns an error if the node has to be restarted.
 	Run(context.Context) error
 	Heard(*peerpb.Envelope)
 	ServePull(*peerpb.PullRequest) (*peerpb.PullResponse, error)
@@ -47,14 +47,14 @@
 	Feeder() bool
 }
 
-// control is what a node does apart from calls: membership, the spreading of
-// versions, operators' commands, and the platform behind them.
+// control is the control plane of a node: membership, distribution of versions, operators'
+// commands, and the platform behind them.
 type control struct {
 	n       *Node
 	metrics *metrics.Set
 	trust   *trustFiles
 
-	client  *client.Client // nil when Options gave table and objects
+	client  *client.Client // nil when Options set Table and Objects
 	table   platform.Table
 	objects platform.Objects
 
@@ -68,9 +68,9 @@
 	commands    command.Submitter
 	maintainer  *maintainer
 
-	publishMu   sync.Mutex   // held while backend servers are told
+	publishMu   sync.Mutex   // held while backend servers are published
 	findings    counterSet   // by kind
-	lastHeardMs atomic.Int64 // when a peer was last heard, in Unix milliseconds
+	lastHeardMs atomic.Int64 // when a peer's last message came, in Unix milliseconds
 }
 
 func newControl(n *Node) (*control, error) {
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// wirePeers makes both ends of the protocol between nodes, and the membership
-// that speaks it.
+// wirePeers makes the client and the server of the protocol between nodes, and the membership that
+// uses it.
 func (c *control) wirePeers() error {
 	n := c.n
 	var err error
@@ -179,17 +179,17 @@
 		Log: telemetry.Part(n.log, "distribute"),
 		OnFinding: func(f distribute.Finding) {
 			c.findings.increment(f.Kind())
-			n.findings.note(time.Now(), f)
+			n.findings.add(time.Now(), f)
 		},
 	})
 }
 
-// wireMaintenance makes the part that keeps the platform's rows bounded.
+// wireMaintenance makes the maintainer, which keeps the platform's rows bounded.
 func (c *control) wireMaintenance() {
 	m := newMaintainer(c.table, c.n.self.ID, time.Now)
 	m.log = telemetry.Part(c.n.log, "maintenance")
 	m.eligible = func() bool {
-		// The rows of versions accepted elsewhere are not this mesh's to keep.
+		// The rows of versions accepted outside this mesh are not maintained here.
 		return c.n.o.Source == nil && c.distributor.Feeder() && !c.n.leaving.Load()
 	}
 	m.compact = command.NewCompactor(c.log, c.table, c.objects, command.CompactOptions{})
@@ -197,13 +197,13 @@
 	c.maintainer = m
 }
 
-// sender is what every message of this node carries.
+// sender returns the sender information that every message of this node carries.
 func (c *control) sender() peer.SenderInfo {
 	s := c.distributor.Stamp()
 	return peer.SenderInfo{Incarnation: c.n.self.Incarnation, Version: s.Version, Behind: s.Behind, Confirmed: s.Confirmed}
 }
 
-// start serves the peers and starts the work of control.
+// start serves the peers and starts the background work of the control plane.
 func (c *control) start(p *parts) {
 	c.trust.watch(p)
 	p.run("control", func(context.Context) error { return c.server.Serve(c.n.ln.control) })
@@ -217,7 +217,7 @@
 	})
 }
 
-// awaitJoin waits until the membership has let this node in or found nobody.
+// awaitJoin waits until this node has joined the membership or found no peer, up to joinTimeout.
 func (c *control) awaitJoin(ctx context.Context) {
 	deadline := time.Now().Add(joinTimeout)
 	for !c.members.Joined() && time.Now().Before(deadline) && ctx.Err() == nil {
@@ -225,7 +225,8 @@
 	}
 }
 
-// publishVersion tells the membership which version is in force here.
+// publishVersion publishes the version in force here, and the refused one if any, in the
+// membership.
 func (c *control) publishVersion(s *config.Snapshot, refused *config.Refused) {
 	v := s.Version()
 	a := membership.ConfigStatus{Version: v.Number}
@@ -237,28 +238,27 @@
 	c.members.SetConfigStatus(a)
 }
 
-// publishBackends tells the membership which backend servers are beside this node, and what they
-// take. The lock keeps an older state from being told after a newer one.
+// publishBackends publishes the backend servers of this VM in the membership, in the form that
+// rollouts give them. The lock keeps an older state from replacing a newer one.
 func (c *control) publishBackends() {
 	c.publishMu.Lock()
 	defer c.publishMu.Unlock()
 	seen := c.n.rollouts.setBackends(time.Now(), c.n.registry.Load())
 	if err := c.members.SetBackends(announce.MembershipBackends(seen)); err != nil {
-		c.n.log.Error().Err(err).Msg("membership: backend servers are not told")
+		c.n.log.Error().Err(err).Msg("membership: backend servers not published")
 	}
 }
 
-// publishNotices tells the membership this node's own publishNotices.
+// publishNotices publishes this node's own notices in the membership.
 func (c *control) publishNotices(ns []membership.Notice) {
 	if err := c.members.SetNotices(ns); err != nil {
-		c.n.log.Error().Err(err).Msg("membership: notices are not told")
+		c.n.log.Error().Err(err).Msg("membership: notices not published")
 	}
 }
 
 func (c *control) leave() { c.members.Leave() }
 
-// close stops answering peers, and ends the connections to them and to the
-// platform.
+// close stops serving peers and closes the connections to them and to the platform.
 func (c *control) close() {
 	_ = c.server.Close()
 	c.peers.Close()
--- a/internal/node/discover.go
+++ b/internal/node/discover.go
@@ -8,23 +8,22 @@
 	"github.com/marlpass/marlpass/internal/wait"
 )
 
-// Times of looking for a backend server that was there before this node.
+// Intervals and timeout of probing for a backend server that was running before this node.
 const (
-	// discoverPollInterval is the time between two looks at what is still missing.
+	// discoverPollInterval is the interval at which the node checks for a version in force.
 	discoverPollInterval = 20 * time.Millisecond
-	// discoverProbeInterval is the time between two probes, and discoverFor how long a
-	// backend server may go without an announcement before it is given up;
-	// its own renewals come more often than that.
+	// discoverProbeInterval is the time between two probes. discoverTimeout bounds each probe, and
+	// the search as a whole from the first version in force on; the heartbeats of a backend server
+	// are more frequent than that.
 	discoverProbeInterval = 300 * time.Millisecond
 	discoverTimeout       = 2 * time.Second
 )
 
-// discover asks the backend server of this VM who it is, instead of waiting for
-// it to announce itself.
+// discover probes this VM's backend server for its identity instead of waiting for its
+// announcement.
 //
-// It guards against a restart of the node that takes its backend server out of
-// service for as long as that one waits until its next heartbeat: a second or
-// more, in which a rolling restart leaves several others idle as well.
+// Otherwise a restart of the node takes its backend server out of service until the next
+// heartbeat, a second or more, and a rolling restart leaves several of them idle at once.
 func (n *Node) discover(ctx context.Context) {
 	if n.o.Probe == nil {
 		return
@@ -48,20 +47,20 @@
 	}
 }
 
-// probe takes in the backend server if it answers.
+// probe registers the backend server if it answers. It reports whether the search is over.
 func (n *Node) probe(ctx context.Context, path string) bool {
 	ctx, cancel := context.WithTimeout(ctx, discoverTimeout)
 	defer cancel()
 	a, err := n.o.Probe(ctx, n.set.VM.Backend, path)
 	if err != nil {
 		n.log.Info().Err(err).Str("backend", n.set.VM.Backend).
-			Msg("announce: the backend server does not say who it is, wait for its announcement")
+			Msg("announce: the probe of the backend server failed, waiting for its announcement")
 		return false
 	}
 	a.Service = n.set.VM.Service
 	changes, err := n.registry.Put(time.Now(), a)
 	if err != nil {
-		n.log.Info().Err(err).Str("instance", a.Instance).Msg("announce: what the backend server says of itself is not taken")
+		n.log.Info().Err(err).Str("instance", a.Instance).Msg("announce: the identity that the backend server reported is refused")
 		return true
 	}
 	if visible := announce.RecordChanges(changes); len(visible) > 0 {
--- a/internal/node/discover_test.go
+++ b/internal/node/discover_test.go
@@ -15,17 +15,17 @@
 	"github.com/marlpass/marlpass/internal/node"
 )
 
-// A node is restarted, and its backend server runs on. It had to wait for the next
-// heartbeat, a second or more, during which the backend server stood idle. It has to
-// ask, again while there is no answer, and only where versions say how.
+// Guards against a restarted node that leaves its running backend server idle until the next
+// heartbeat, a second or more. It has to probe it, retry while there is no answer, and do so only
+// where the configuration gives a health path.
 func TestRestartedNodeProbesItsBackendServer(t *testing.T) {
-	var asked atomic.Int64
+	var probes atomic.Int64
 	probe := func(_ context.Context, address, path string) (announce.Announcement, error) {
 		if path != "/well" || address != "10.0.0.9:80" {
-			t.Errorf("asked %s%s", address, path)
+			t.Errorf("probed %s%s", address, path)
 		}
-		if asked.Add(1) == 1 {
-			return announce.Announcement{}, errors.New("it is just starting")
+		if probes.Add(1) == 1 {
+			return announce.Announcement{}, errors.New("still starting")
 		}
 		return announce.Announcement{
 			Instance: "i-1", Address: netip.MustParseAddrPort("127.0.0.1:9"), Slots: 6,
@@ -43,19 +43,19 @@
 		o.Settings.VM.Service, o.Settings.VM.Backend = service, "10.0.0.9:80"
 	})
 	w.must(w.WaitEndpoints(w.ctx, service, 2))
-	if n := asked.Load(); n < 3 {
-		t.Errorf("asked %d times", n)
+	if n := probes.Load(); n < 3 {
+		t.Errorf("probed %d times", n)
 	}
 }
 
-// oneVersion is a source that has one version.
+// oneVersion is a source with a single version.
 type oneVersion struct {
 	snap *config.Snapshot
-	told atomic.Bool
+	sent atomic.Bool
 }
 
 func (o *oneVersion) Next(ctx context.Context, _ time.Duration) (*config.Snapshot, error) {
-	if o.told.CompareAndSwap(false, true) {
+	if o.sent.CompareAndSwap(false, true) {
 		return o.snap, nil
 	}
 	<-ctx.Done()
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -11,14 +11,14 @@
 	"github.com/marlpass/marlpass/internal/query"
 )
 
-// Bounds of what a handover reads from the platform, while other nodes report.
+// Limits for a handover's reads from the platform, which run while other nodes report.
 const (
 	handoverReadTimeout = 2500 * time.Millisecond
 	maxHandoverChanges  = 100
 )
 
-// Handover implements admin.Reader. It tells what can be told: a part that
-// can't be read is listed as not seen, and is no reason to tell nothing.
+// Handover implements admin.Reader. A part that cannot be read is listed as not seen; the rest is
+// still returned.
 func (r *reader) Handover(ctx context.Context, since time.Time) (*adminapi.Handover, error) {
 	n := r.n
 	in := query.HandoverInput{Since: since.UTC()}
@@ -39,8 +39,8 @@
 	return admin.HandoverOf(query.HandoverOf(in, time.Now())), nil
 }
 
-// readPlatform reads the head and the changes. Whether the platform answers is
-// judged by this very read, since the last call before it may be long ago.
+// readPlatform reads the head and the changes. The result of this read decides whether the
+// platform counts as reachable, since the previous call may be long ago.
 func (r *reader) readPlatform(ctx context.Context, in *query.HandoverInput) {
 	ctx, cancel := context.WithTimeout(ctx, handoverReadTimeout)
 	defer cancel()
@@ -63,7 +63,7 @@
 	}
 	in.History, in.HistoryErr = r.history(ctx, h, query.HistoryFilter{Since: in.Since, Limit: maxHandoverChanges})
 	if history != nil && in.HistoryErr == nil {
-		// The platform's log lacks changes that are in force, or has others.
+		// The platform's log lacks changes that are in force, or holds different ones.
 		in.HistoryErr = history
 	}
 }
--- a/internal/node/handover_findings.go
+++ b/internal/node/handover_findings.go
@@ -9,25 +9,25 @@
 	"github.com/marlpass/marlpass/internal/query"
 )
 
-// maxFindings bounds the findings kept for the handover.
+// maxFindings bounds the findings kept for the handover report.
 const maxFindings = 8
 
-// findings keeps the last odd things that the spreading of versions met.
-// Conflicts are not among them: distribute keeps those itself.
+// findings keeps the latest anomalies in the distribution of versions, except conflicts, which
+// distribute keeps itself.
 type findings struct {
 	mu   sync.Mutex
 	last []query.Finding // newest first
 }
 
-// note takes in one finding.
-func (f *findings) note(now time.Time, found distribute.Finding) {
+// add adds a finding and drops the oldest above maxFindings.
+func (f *findings) add(now time.Time, finding distribute.Finding) {
 	var conflict *distribute.Conflict
-	if errors.As(found, &conflict) {
+	if errors.As(finding, &conflict) {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.last = append([]query.Finding{{At: now, Kind: found.Kind(), Detail: found.Error()}}, f.last...)
+	f.last = append([]query.Finding{{At: now, Kind: finding.Kind(), Detail: finding.Error()}}, f.last...)
 	f.last = f.last[:min(len(f.last), maxFindings)]
 }
 
--- a/internal/node/handover_quarantine.go
+++ b/internal/node/handover_quarantine.go
@@ -26,7 +26,8 @@
 	quarantine.KindLifted:      query.QuarantineLifted,
 }
 
-// quarantined returns all requests that were in flight at a crash.
+// quarantined returns the suspect, quarantined and lifted requests, which were in flight at a
+// crash.
 func (n *Node) quarantined(now time.Time) []query.Quarantine {
 	v := n.views.Load()
 	var out []query.Quarantine
@@ -44,9 +45,8 @@
 	return out
 }
 
-// servicesOf returns the services of the backend servers that crashed with the
-// request, as far as they are still known. A crash is named by VM, backend
-// server and moment.
+// servicesOf returns the services of the backend servers that crashed with the request, as far as
+// the view still lists them. The ID of a crash has the form VM/instance/time.
 func servicesOf(v *membership.View, e quarantine.Entry) []string {
 	var out []string
 	seen := make(map[string]bool)
@@ -67,12 +67,11 @@
 	return out
 }
 
-// lifter lets quarantined requests run again, by operators' orders.
+// lifter releases quarantined requests on operators' commands.
 type lifter struct{ n *Node }
 
-// Lift implements admin.Lifter. The nodes beside backend servers of the service
-// are told at once, since they refuse the request too; all others hear of it by
-// this node's record.
+// Lift implements admin.Lifter. It alerts the nodes that hold the service at once, since they
+// refuse the request too; all others get the notice with this node's membership record.
 func (l lifter) Lift(ctx context.Context, fp quarantine.Fingerprint, by string) (string, error) {
 	now := time.Now()
 	list := l.n.calls.suspects.list
@@ -91,8 +90,8 @@
 	return by, nil
 }
 
-// alert sends the notice to the nodes that hold the services. It goes on when
-// the operator's client has gone.
+// alert sends the notice to the nodes that hold the services. It continues after the operator's
+// client has disconnected.
 func (l lifter) alert(ctx context.Context, services []string, ns []membership.Notice) {
 	if len(ns) == 0 {
 		return
--- a/internal/node/inflight_test.go
+++ b/internal/node/inflight_test.go
@@ -19,7 +19,7 @@
 func TestRefusedCallWithSilentBodyEndsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls drain.Calls
-		ln := servePipes(t, newServer(calls.Handler(refuseAll), zerolog.Nop()))
+		ln := servePipeListener(t, newServer(calls.Handler(refuseAll), zerolog.Nop()))
 		conn := ln.dial()
 		defer conn.Close()
 		start := time.Now()
@@ -42,7 +42,7 @@
 func TestRefusedCallKeepsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls drain.Calls
-		conn := servePipes(t, newServer(calls.Handler(refuseAll), zerolog.Nop())).dial()
+		conn := servePipeListener(t, newServer(calls.Handler(refuseAll), zerolog.Nop())).dial()
 		defer conn.Close()
 		answers := bufio.NewReader(conn)
 		for range 3 {
--- a/internal/node/leave_bench_test.go
+++ b/internal/node/leave_bench_test.go
@@ -15,10 +15,9 @@
 	"github.com/marlpass/marlpass/internal/settings"
 )
 
-// BenchmarkLeaveIsHeard measures how long after a node begins to leave the last
-// node of the mesh still picks its backend server, over a mesh of three data
-// centres. Each round another node leaves, and none comes back: run it with
-// -benchtime 4x or so.
+// BenchmarkLeaveIsHeard measures the time from the start of a node's leave until the last node of
+// a mesh of three data centres stops picking its backend server. Each round another node leaves
+// and none returns: run it with -benchtime 4x or so.
 func BenchmarkLeaveIsHeard(b *testing.B) {
 	for _, profile := range []string{settings.ProfileTime, settings.ProfileBytes} {
 		for _, nodes := range []int{12, 36} {
--- a/internal/node/lift_test.go
+++ b/internal/node/lift_test.go
@@ -14,7 +14,7 @@
 // go, callers elsewhere would be refused for half an hour more.
 func TestOperatorLiftsAQuarantine(t *testing.T) {
 	y := newOperatorMesh(t)
-	y.state(t)
+	y.configure(t)
 	y.startBackend(t, 0, "a")
 	y.startBackend(t, 2, "b")
 	if err := y.WaitEndpoints(y.ctx, "berths", 2); err != nil {
@@ -65,7 +65,7 @@
 // node that started after its end held the request in quarantine again.
 func TestLiftOutlivesTheNodeThatWasAsked(t *testing.T) {
 	y := newOperatorMesh(t)
-	y.state(t)
+	y.configure(t)
 	y.startBackend(t, 0, "a")
 	y.startBackend(t, 2, "b")
 	if err := y.WaitEndpoints(y.ctx, "berths", 2); err != nil {
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -16,15 +16,15 @@
 	"github.com/marlpass/marlpass/internal/settings"
 )
 
-// headerTimeout bounds how long a client may take to send a request's header,
-// so that silent connections do not pile up.
+// headerTimeout bounds the time to receive a request's header, so that silent connections do not
+// pile up.
 const headerTimeout = 10 * time.Second
 
-// maxHeaderBytes bounds a request's header.
+// maxHeaderBytes bounds the size of a request's header.
 const maxHeaderBytes = 64 << 10
 
-// listeners are the sockets of one node. All are opened before any is served,
-// so that a node either starts whole or not at all.
+// listeners are the sockets of one node. All are opened before any is served, so a node starts
+// with all of them or not at all.
 type listeners struct {
 	callers, internal, calls, control, admin, announce, metrics net.Listener
 	ready                                                       net.Listener // nil when the settings name no address
@@ -71,7 +71,7 @@
 	}
 }
 
-// Addrs are the addresses that a node listens on, as they came out.
+// Addrs are the addresses that a node listens on, with the ports assigned by the system.
 type Addrs struct {
 	Callers, Internal, Calls, Control, Admin, Announce, Metrics string
 }
@@ -88,9 +88,8 @@
 	}
 }
 
-// newServer returns an HTTP server for calls. Whole requests and answers have no
-// bound of time here: archive pulls take minutes, and the proxy bounds calls by
-// their deadlines.
+// newServer returns an HTTP server for calls. It sets no timeout for whole requests and answers:
+// archive downloads take minutes, and the proxy bounds calls by their deadlines.
 func newServer(h http.Handler, log zerolog.Logger) *http.Server {
 	return &http.Server{
 		ErrorLog:          errorLog(log),
@@ -101,20 +100,19 @@
 	}
 }
 
-// Bounds of the requests that operators, backend servers and readers of metrics
-// send, from the end of the header on: their bodies are small, and no answer
-// takes longer than a command that goes through a peer.
+// Timeouts for requests of operators, backend servers and metrics scrapers, from the end of the
+// header on. Their bodies are small, and the slowest answer is that to a command forwarded to a
+// peer.
 const (
 	sideReadTimeout  = 20 * time.Second
 	sideWriteTimeout = 2 * time.Minute
 )
 
-// newSideServer returns a server for a part that carries no calls.
+// newSideServer returns a server for APIs that carry no calls.
 //
-// It guards against clients that fall silent. net/http reads on in the body of
-// a request that was refused, and a handler waits until its answer is taken;
-// without a bound each such client, with a token or not, holds a connection for
-// ever, until the node has no files left for calls.
+// Without timeouts a client that stops sending or reading would hold its connection for ever, with
+// or without a token, until the node runs out of file descriptors: net/http keeps reading the body
+// of a refused request, and a handler blocks until its answer is read.
 func newSideServer(h http.Handler, log zerolog.Logger) *http.Server {
 	s := newServer(h, log)
 	s.ReadTimeout = sideReadTimeout
@@ -122,8 +120,8 @@
 	return s
 }
 
-// maxErrorLinesPerSecond bounds the lines about clients that do not speak as they
-// should: one that is set up wrongly tries again for ever.
+// maxErrorLinesPerSecond bounds the log lines about protocol errors of clients; a misconfigured
+// client retries for ever.
 const maxErrorLinesPerSecond = 5
 
 func errorLog(log zerolog.Logger) *stdlog.Logger {
@@ -131,8 +129,7 @@
 	return stdlog.New(serverLog{few}, "", 0)
 }
 
-// serverLog logs what net/http says of connections and of handlers that
-// panicked.
+// serverLog logs the messages of net/http about connections and panicking handlers.
 type serverLog struct{ log zerolog.Logger }
 
 // Write implements io.Writer.
@@ -141,7 +138,7 @@
 	return len(p), nil
 }
 
-// serve serves until the server is shut down. A nil config means plain text.
+// serve serves until the server is closed. A nil TLS config means plain text.
 func serve(s server, ln net.Listener, t *tls.Config) error {
 	if t != nil {
 		ln = tls.NewListener(ln, t)
--- a/internal/node/listeners_test.go
+++ b/internal/node/listeners_test.go
@@ -11,18 +11,17 @@
 	"github.com/rs/zerolog"
 )
 
-// pipes is a listener whose connections are pipes in memory, so that a test runs
-// on fake time.
-type pipes struct {
+// pipeListener is a listener with in-memory connections, so that a test runs on a fake clock.
+type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 }
 
-func newPipes() *pipes {
-	return &pipes{conns: make(chan net.Conn), closed: make(chan struct{})}
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -31,22 +30,22 @@
 	}
 }
 
-func (p *pipes) Close() error {
+func (p *pipeListener) Close() error {
 	close(p.closed)
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) dial() net.Conn {
+func (p *pipeListener) dial() net.Conn {
 	client, server := net.Pipe()
 	p.conns <- server
 	return client
 }
 
-// servePipes serves s until the test ends, and returns what to dial.
-func servePipes(t *testing.T, s *http.Server) *pipes {
-	ln := newPipes()
+// servePipeListener serves s until the test ends, and returns the listener to dial.
+func servePipeListener(t *testing.T, s *http.Server) *pipeListener {
+	ln := newPipeListener()
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
@@ -59,7 +58,7 @@
 	return ln
 }
 
-// connectionLifetime returns how long the server keeps the connection after it was sent text.
+// connectionLifetime returns how long the server keeps the connection open after receiving text.
 func connectionLifetime(t *testing.T, conn net.Conn, text string) time.Duration {
 	t.Helper()
 	start := time.Now()
@@ -74,21 +73,20 @@
 	w.WriteHeader(http.StatusUnauthorized)
 })
 
-// Somebody without a token opened connection after connection to the admin API,
-// sent the header of a request with a body on each, and nothing more. Each was
-// refused and yet kept for ever, since net/http reads on in the body first and
-// nothing bounded that: the node ran out of files, and calls failed.
+// Guards against connections kept for ever by clients without a token that send the header of a
+// request with a body and nothing more: net/http reads the body of a refused request first, and
+// the node ran out of file descriptors for calls.
 func TestSilentBodyEndsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ln := servePipes(t, newSideServer(refuseAll, zerolog.Nop()))
+		ln := servePipeListener(t, newSideServer(refuseAll, zerolog.Nop()))
 		if got := connectionLifetime(t, ln.dial(), "PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\n"); got > sideReadTimeout {
-			t.Errorf("kept for %s", got)
+			t.Errorf("connection kept for %s", got)
 		}
 	})
 }
 
-// A client asked for the metrics and read none of the answer. The goroutine that
-// wrote it, and its connection, stayed for as long as the client did.
+// Guards against a client that requests the metrics and reads none of the answer: its connection
+// and the writing goroutine stayed as long as the client did.
 func TestUnreadAnswerEndsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		wrote := make(chan time.Duration, 1)
@@ -97,13 +95,13 @@
 			_, _ = w.Write(make([]byte, 1<<20))
 			wrote <- time.Since(start)
 		})
-		conn := servePipes(t, newSideServer(h, zerolog.Nop())).dial()
+		conn := servePipeListener(t, newSideServer(h, zerolog.Nop())).dial()
 		defer conn.Close()
 		if _, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
 		if got := <-wrote; got > sideWriteTimeout {
-			t.Errorf("written for %s", got)
+			t.Errorf("write blocked for %s", got)
 		}
 	})
 }
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -15,51 +15,48 @@
 	"github.com/marlpass/marlpass/internal/wait"
 )
 
-// Times of maintenance. Only the feeders contend, two a data centre, so ten
-// nodes of a mesh with five data centres look at the lease at all: two reads
-// each in about a minute.
+// Intervals and limits of maintenance. Only the feeders, two per data centre, contend for the
+// lease, so ten nodes of a mesh with five data centres read it: two reads each per minute.
 const (
 	maintenanceLease     = 3 * time.Minute
-	maintenanceLeasePoll = time.Minute      // between two looks at another's lease
-	maintenanceIdleWait  = time.Minute      // after a round that found nothing to do
-	maintenanceStepWait  = time.Second      // between two steps that found something
-	maintenanceScanWait  = 5 * time.Second  // between two steps that merely read
-	maintenanceTimeout   = 10 * time.Second // of one look, renewal or step
-	maintenanceLeaseName = "maintenance"    // of the row in the platform
-	trimRows             = 128              // outcomes read and removed in a step
+	maintenanceLeasePoll = time.Minute      // between two reads of another node's lease
+	maintenanceIdleWait  = time.Minute      // after a step that found nothing to do
+	maintenanceStepWait  = time.Second      // between two steps that deleted rows
+	maintenanceScanWait  = 5 * time.Second  // between two steps that only read
+	maintenanceTimeout   = 10 * time.Second // of one lease read, renewal or step
+	maintenanceLeaseName = "maintenance"    // name of the lease row
+	trimRows             = 128              // outcomes read and removed per step
 	trimPassInterval     = 10 * time.Minute // between two passes over the outcomes
-	maintenanceJitter    = 0.5              // share of each wait that is random
+	maintenanceJitter    = 0.5              // random share of each wait
 )
 
-// trimmer removes old outcomes of keyed calls; once.Deduplicator is one.
+// trimmer removes old outcomes of keyed calls; once.Deduplicator implements it.
 type trimmer interface {
 	Trim(ctx context.Context, after string, limit int) (next string, removed int, err error)
 }
 
-// compactor does a piece of compaction; command.Compactor is one.
+// compactor performs one step of compaction; command.Compactor implements it.
 type compactor interface {
 	Step(ctx context.Context, f command.Fence, now time.Time) (command.CompactReport, error)
 }
 
 // maintainer keeps the platform's rows bounded while it holds the lease.
 //
-// It guards against two failures. A holder that is paused past its lease (a VM
-// that is moved, a process that swaps) wakes in the middle of a step and writes
-// what another holder has made wrong since: compaction's writes carry the
-// lease's fencing condition and fail, after which the holder gives up what it
-// has. Trimming needs no fence: it deletes rows by their revision, and a row
-// that is too old stays so. And a fleet that contends as a whole would read
-// the platform 1,200 times a minute: only feeders do.
+// A holder that is paused past its lease (a VM migration, a swapping process) may resume in the
+// middle of a step with writes that another holder has made obsolete. Compaction therefore writes
+// under the lease's fencing condition; such a write fails and the holder drops the lease. Trimming
+// needs no fence: it deletes rows by revision, and a row that is too old stays too old. Only
+// feeders contend, since a fleet of 1,200 nodes would read the platform 1,200 times a minute.
 type maintainer struct {
 	log       zerolog.Logger
 	now       func() time.Time
-	eligible  func() bool // whether this node may contend
+	eligible  func() bool // whether this node may contend for the lease
 	contender *lease.Contender
 	compact   compactor
 	trim      trimmer
 
 	held      *lease.Lease
-	cursor    string    // where trimming goes on
+	cursor    string    // where the next trim step continues
 	trimAfter time.Time // when the next pass over the outcomes may begin
 	stats     maintenanceStats
 }
@@ -74,7 +71,7 @@
 	}
 }
 
-// run does what is due until ctx ends, then gives the lease back.
+// run performs the steps that are due until ctx is done, then releases the lease.
 func (m *maintainer) run(ctx context.Context) {
 	rest := maintenanceLeasePoll
 	for {
@@ -87,15 +84,13 @@
 	}
 }
 
-// jitter spreads waits, so that nodes that started together do not read
-// together.
+// jitter randomises waits, so that nodes that started together do not read at the same time.
 func jitter(d time.Duration) time.Duration {
 	part := maintenanceJitter * float64(d)
 	return d - time.Duration(part/2) + time.Duration(mathrand.Float64()*part)
 }
 
-// step does one bounded piece of work and returns how long to wait for the
-// next.
+// step performs one bounded piece of work and returns the wait before the next.
 func (m *maintainer) step(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, maintenanceTimeout)
 	defer cancel()
@@ -116,15 +111,15 @@
 			m.dropLease()
 			return maintenanceLeasePoll
 		}
-		return maintenanceStepWait // an operator's change came between; look again
+		return maintenanceStepWait // conflict with an operator's change: retry
 	}
 	m.stats.failed.Add(1)
 	m.log.Warn().Err(err).Msg("maintenance: step failed")
 	return maintenanceIdleWait
 }
 
-// ensureLease reports whether this node holds the lease, and renews it when a third of
-// it has passed.
+// ensureLease reports whether this node holds the lease. It acquires the lease if needed, and
+// renews it once a third of its time has passed.
 func (m *maintainer) ensureLease(ctx context.Context) bool {
 	if m.held != nil && !m.held.Valid() {
 		m.dropLease()
@@ -141,7 +136,7 @@
 		return false
 	}
 	if err != nil {
-		m.log.Warn().Err(err).Msg("maintenance: lease not renewed yet")
+		m.log.Warn().Err(err).Msg("maintenance: lease could not be renewed")
 	}
 	return m.held.Valid()
 }
@@ -150,7 +145,7 @@
 	l, err := m.contender.Acquire(ctx)
 	if err != nil {
 		if !errors.Is(err, lease.ErrHeld) {
-			m.log.Warn().Err(err).Msg("maintenance: lease not read")
+			m.log.Warn().Err(err).Msg("maintenance: lease could not be acquired")
 		}
 		return false
 	}
@@ -161,7 +156,7 @@
 	return true
 }
 
-// dropLease forgets a lease that another holder has, or may have.
+// dropLease drops a lease that another holder has, or may have.
 func (m *maintainer) dropLease() {
 	m.held = nil
 	m.stats.holdsLease.Store(false)
@@ -176,7 +171,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if err := m.held.Release(ctx); err != nil {
-		m.log.Warn().Err(err).Msg("maintenance: lease runs out by itself")
+		m.log.Warn().Err(err).Msg("maintenance: lease not released, it will expire")
 	}
 	m.held = nil
 	m.stats.holdsLease.Store(false)
@@ -193,12 +188,12 @@
 	if rep.More && deleted > 0 {
 		return maintenanceStepWait, nil
 	}
-	trimming, err := m.trimStep(ctx)
+	trimWait, err := m.trimStep(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if trimming > 0 {
-		return trimming, nil
+	if trimWait > 0 {
+		return trimWait, nil
 	}
 	if rep.More {
 		return maintenanceScanWait, nil
@@ -206,8 +201,8 @@
 	return maintenanceIdleWait, nil
 }
 
-// trimStep removes old outcomes. It returns how long to wait for the next step
-// of the pass, or zero between passes.
+// trimStep removes old outcomes. It returns the wait before the next step of the pass, or zero
+// between passes.
 func (m *maintainer) trimStep(ctx context.Context) (time.Duration, error) {
 	if m.now().Before(m.trimAfter) {
 		return 0, nil
@@ -228,8 +223,8 @@
 	return maintenanceScanWait, nil
 }
 
-// lostFence reports whether a write failed because the lease has passed on, and
-// not because a row was changed by somebody else.
+// lostFence reports whether a write failed on the lease's fence, and not because another writer
+// changed a row.
 func lostFence(c *platform.ConflictError, fence platform.Condition) bool {
 	for _, key := range c.Keys {
 		if key == fence.Key {
--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -14,7 +14,7 @@
 	"github.com/marlpass/marlpass/internal/platform/fake"
 )
 
-// hookedTable is a table that calls before ahead of a commit, once.
+// hookedTable is a table that calls before once, ahead of a commit.
 type hookedTable struct {
 	platform.Table
 	before func()
@@ -28,7 +28,7 @@
 	return h.Table.Commit(ctx, t)
 }
 
-// maintenanceFixture is a mesh's platform with a clock that only the test moves.
+// maintenanceFixture is the platform of a mesh with a fake clock.
 type maintenanceFixture struct {
 	t     *testing.T
 	store *fake.Store
@@ -52,14 +52,14 @@
 	return h
 }
 
-// maintainer returns a maintainer that sees the platform through table.
-func (h *maintenanceFixture) maintainer(vm string, table platform.Table) *maintainer {
-	k := newMaintainer(table, vm, func() time.Time { return h.now })
-	k.log = zerolog.Nop()
+// maintainerFor returns a maintainer that reads and writes the platform through table.
+func (h *maintenanceFixture) maintainerFor(vm string, table platform.Table) *maintainer {
+	m := newMaintainer(table, vm, func() time.Time { return h.now })
+	m.log = zerolog.Nop()
 	r := command.NewReader(table, h.store.Objects(), command.SnapshotFunc(config.Empty))
-	k.compact = command.NewCompactor(r, table, h.store.Objects(), command.CompactOptions{KeepLog: 3, Batch: 4})
-	k.trim = noOutcomes{}
-	return k
+	m.compact = command.NewCompactor(r, table, h.store.Objects(), command.CompactOptions{KeepLog: 3, Batch: 4})
+	m.trim = noOutcomes{}
+	return m
 }
 
 type noOutcomes struct{}
@@ -74,20 +74,18 @@
 	return len(rows)
 }
 
-// A VM that holds the maintenance lease is moved to another host in the middle
-// of a step and stands still for minutes. Another feeder takes the lease and
-// compacts further. When the first wakes, its transaction still deletes log
-// rows and sets an older floor: a node that starts then would look for rows
-// that are gone. The write must fail on the lease's fence, and the woken node
-// must stop working until it holds the lease anew.
+// Guards against a lease holder that is paused in the middle of a step (a VM migration) while
+// another feeder takes the lease and compacts further. Its transaction would delete log rows and
+// set an older floor, so that a starting node looks for missing rows. The write must fail on the
+// lease's fence, and the holder must stop until it holds the lease again.
 func TestPausedMaintainerChangesNothing(t *testing.T) {
 	h := newMaintenanceFixture(t, 24)
 	ctx := context.Background()
 	table := &hookedTable{Table: h.store.Table()}
-	paused, other := h.maintainer("vm1", table), h.maintainer("vm2", h.store.Table())
+	paused, other := h.maintainerFor("vm1", table), h.maintainerFor("vm2", h.store.Table())
 	left := 0
 	table.before = func() {
-		other.step(ctx) // first sighting of the lease
+		other.step(ctx) // reads the lease for the first time
 		h.now = h.now.Add(maintenanceLease + time.Second)
 		other.step(ctx)
 		other.step(ctx)
@@ -105,19 +103,18 @@
 	}
 	paused.step(ctx)
 	if paused.stats.holdsLease.Load() {
-		t.Error("two hold the lease")
+		t.Error("two nodes hold the lease")
 	}
 }
 
-// Rows pile up for as long as nobody compacts: the log would grow by 930 rows a
-// day. One holder works it off, keeps its lease over many renewals, and rests
-// when nothing is left.
-func TestMaintainerWorksItOffAndRests(t *testing.T) {
+// Guards against rows that pile up: without compaction the log grows by 930 rows a day. One holder
+// has to work off the backlog, keep its lease over many renewals, and idle when nothing is left.
+func TestMaintainerClearsBacklogAndIdles(t *testing.T) {
 	h := newMaintenanceFixture(t, 24)
-	k := h.maintainer("vm1", h.store.Table())
+	m := h.maintainerFor("vm1", h.store.Table())
 	var wait time.Duration
 	for range 12 {
-		wait = k.step(context.Background())
+		wait = m.step(context.Background())
 		h.now = h.now.Add(wait)
 	}
 	if got := h.logRows(); got > 3+4 || wait != maintenanceIdleWait {
@@ -125,50 +122,48 @@
 	}
 	before := h.store.Counts()
 	for range 60 {
-		h.now = h.now.Add(k.step(context.Background()))
+		h.now = h.now.Add(m.step(context.Background()))
 	}
 	after := h.store.Counts()
-	if k.stats.taken.Load() != 1 || k.stats.lost.Load() != 0 {
-		t.Errorf("lease taken %d times, lost %d", k.stats.taken.Load(), k.stats.lost.Load())
+	if m.stats.taken.Load() != 1 || m.stats.lost.Load() != 0 {
+		t.Errorf("lease taken %d times, lost %d", m.stats.taken.Load(), m.stats.lost.Load())
 	}
-	// An hour of rest: a read of the head and one scan a minute, and a renewal
-	// now and then.
+	// An idle hour: one read of the head and one scan a minute, and a few renewals.
 	if reads, writes := after.Reads-before.Reads, after.Writes-before.Writes; reads > 2*60 || writes > 60 {
-		t.Errorf("an hour of rest took %d reads and %d writes", reads, writes)
+		t.Errorf("an idle hour took %d reads and %d writes", reads, writes)
 	}
 }
 
-// A node that is no feeder must not read the platform at all for this: 1,200
-// that look once a minute are 40 reads a second.
-func TestNoFeederContends(t *testing.T) {
+// Guards against nodes that are not feeders reading the platform for the lease: 1,200 of them
+// reading once a minute would be 40 reads a second.
+func TestOnlyFeedersContend(t *testing.T) {
 	h := newMaintenanceFixture(t, 1)
-	k := h.maintainer("vm1", h.store.Table())
+	m := h.maintainerFor("vm1", h.store.Table())
 	before := h.store.Counts()
-	k.eligible = func() bool { return false }
-	k.step(context.Background())
+	m.eligible = func() bool { return false }
+	m.step(context.Background())
 	if h.store.Counts() != before {
 		t.Error("the platform was read")
 	}
-	k.eligible = func() bool { return true }
-	k.step(context.Background())
-	k.eligible = func() bool { return false }
-	k.step(context.Background())
-	other := h.maintainer("vm2", h.store.Table())
+	m.eligible = func() bool { return true }
+	m.step(context.Background())
+	m.eligible = func() bool { return false }
+	m.step(context.Background())
+	other := h.maintainerFor("vm2", h.store.Table())
 	if other.step(context.Background()); !other.stats.holdsLease.Load() {
 		t.Error("a node that stopped being a feeder kept the lease")
 	}
 }
 
-// A mesh of 1,200 nodes in five data centres has ten feeders. All of them look at
-// the lease for as long as the mesh lives, whatever there is to do; the platform
-// must hardly notice.
+// Guards against a high platform load from the ten feeders of 1,200 nodes in five data centres,
+// which all read the lease for as long as the mesh runs.
 func TestFeedersSpareThePlatform(t *testing.T) {
 	h := newMaintenanceFixture(t, 24)
-	keepers := make([]*maintainer, 10)
-	due := make([]time.Time, len(keepers))
-	for i := range keepers {
-		keepers[i] = h.maintainer(fmt.Sprint("vm", i), h.store.Table())
-		due[i] = h.now.Add(time.Duration(i) * maintenanceLeasePoll / time.Duration(len(keepers)))
+	maintainers := make([]*maintainer, 10)
+	due := make([]time.Time, len(maintainers))
+	for i := range maintainers {
+		maintainers[i] = h.maintainerFor(fmt.Sprint("vm", i), h.store.Table())
+		due[i] = h.now.Add(time.Duration(i) * maintenanceLeasePoll / time.Duration(len(maintainers)))
 	}
 	before, end := h.store.Counts(), h.now.Add(time.Hour)
 	for {
@@ -182,13 +177,13 @@
 			break
 		}
 		h.now = due[next]
-		due[next] = h.now.Add(keepers[next].step(context.Background()))
+		due[next] = h.now.Add(maintainers[next].step(context.Background()))
 	}
 	after := h.store.Counts()
 	holders, taken := 0, uint64(0)
-	for _, k := range keepers {
-		taken += k.stats.taken.Load()
-		if k.stats.holdsLease.Load() {
+	for _, m := range maintainers {
+		taken += m.stats.taken.Load()
+		if m.stats.holdsLease.Load() {
 			holders++
 		}
 	}
--- a/internal/node/mesh_test.go
+++ b/internal/node/mesh_test.go
@@ -22,7 +22,7 @@
 	"github.com/marlpass/marlpass/internal/settings"
 )
 
-// Paths of the two classes of a testMesh.
+// Paths of the two targets of a testMesh.
 const (
 	lookup = "/berths"   // idempotent
 	book   = "/bookings" // not idempotent
@@ -30,21 +30,20 @@
 
 const service = "berths"
 
-// testTimeout bounds a whole test, so that one that hangs ends; no verdict depends
-// on it.
+// testTimeout ends a test that hangs; no result depends on it.
 const testTimeout = 2 * time.Minute
 
-// testMesh is a local mesh whose service "berths" is held by some of its VMs.
+// testMesh is a local mesh in which some VMs hold the service "berths".
 type testMesh struct {
 	*localmesh.Mesh
 	t       *testing.T
 	ctx     context.Context
 	version uint64
-	addrs   node.Addrs // of the node that was stopped last
+	addrs   node.Addrs // of the node stopped last
 }
 
-// startMesh starts a mesh of one data centre. Change, if not nil, changes what
-// each node is made of.
+// startMesh starts a mesh of one data centre. The function change, if not nil, changes the options
+// of each node.
 func startMesh(t *testing.T, vms int, change func(*localmesh.VM, *node.Options)) *testMesh {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -71,7 +70,7 @@
 	}
 }
 
-// hold starts backend servers beside some VMs, and states the two targets.
+// hold starts backend servers on some VMs and configures the service and the two targets.
 func (w *testMesh) hold(vms ...*localmesh.VM) {
 	w.t.Helper()
 	for _, vm := range vms {
@@ -103,21 +102,21 @@
 	w.must(err)
 }
 
-// answer is what a caller saw of one call.
+// answer is the result of one call as its caller sees it.
 type answer struct {
 	status  int
 	notRun  call.Reason
 	after   string // Retry-After
-	closing bool   // the connection ends with this answer
-	err     error  // no whole answer came
+	closing bool   // the answer closes the connection
+	err     error  // no complete answer was received
 }
 
 func (a answer) String() string {
 	return fmt.Sprintf("status %d, not run %q, error %v", a.status, a.notRun, a.err)
 }
 
-// ask makes one call to the node at addr and checks that the answer is whole
-// and its own.
+// ask makes one call to the node at addr and checks that the answer is complete and belongs to the
+// call.
 func ask(ctx context.Context, c *http.Client, addr, method, path, id string) answer {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
@@ -145,8 +144,8 @@
 	return ask(w.ctx, http.DefaultClient, vm.Node().Addrs().Callers, method, path, id)
 }
 
-// runs returns how often the backend servers of all VMs ran requests, and how
-// many requests they were.
+// runs returns the number of runs at the backend servers of all VMs, and the number of distinct
+// requests.
 func (w *testMesh) runs() (runs, requests int) {
 	for _, vm := range w.VMs {
 		for _, b := range vm.Backends() {
@@ -157,7 +156,7 @@
 	return runs, requests
 }
 
-// metric returns the value of a metric of a VM's node, or -1 if there is none.
+// metric returns the value of a metric of a VM's node, or -1 if it is missing.
 func (w *testMesh) metric(vm *localmesh.VM, name string) float64 {
 	w.t.Helper()
 	for line := range strings.Lines(w.page(vm, "/metrics")) {
@@ -170,8 +169,8 @@
 	return -1
 }
 
-// reaches waits until a metric has a value: a node counts a call a moment after
-// its caller has the answer.
+// reaches waits until a metric has a value: a node counts a call shortly after its caller has the
+// answer.
 func (w *testMesh) reaches(vm *localmesh.VM, name string, want float64) {
 	w.t.Helper()
 	for got := w.metric(vm, name); got != want; got = w.metric(vm, name) {
@@ -192,12 +191,11 @@
 	return string(b)
 }
 
-// settingsOf returns settings of a VM's node that Reload may take.
+// settingsOf returns a VM's settings in a form that Reload accepts.
 func (w *testMesh) settingsOf(vm *localmesh.VM) settings.Node { return vm.Node().Settings() }
 
-// keepCalling makes calls of both classes through the nodes of some VMs, one
-// after the other on each, until the test asks for the failures. Ended counts
-// the calls that ended.
+// keepCalling makes calls of both classes through the nodes of some VMs, sequentially per node and
+// class. The function returned stops them and returns the failed calls; ended counts all calls.
 func (w *testMesh) keepCalling(vms ...*localmesh.VM) (ended *atomic.Int64, failed func() []answer) {
 	ended = new(atomic.Int64)
 	var stop atomic.Bool
@@ -228,7 +226,7 @@
 	return ended, end
 }
 
-// waitCalls waits until more calls have ended.
+// waitCalls waits until the given number of further calls has ended.
 func (w *testMesh) waitCalls(ended *atomic.Int64, more int64) {
 	w.t.Helper()
 	for until := ended.Load() + more; ended.Load() < until; time.Sleep(time.Millisecond) {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -29,8 +29,8 @@
 		fmt.Fprintln(w, "ok")
 	})
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if ok, why := n.Ready(); !ok {
-			http.Error(w, why, http.StatusServiceUnavailable)
+		if ok, reason := n.Ready(); !ok {
+			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
 		fmt.Fprintln(w, "ready")
@@ -38,11 +38,11 @@
 	return mux
 }
 
-// page is a page of metrics. What a part of the node counts for itself is read
-// when the page is asked for, so nothing is kept twice.
+// page writes one metrics response. Counters kept by the parts of the node are read when it is
+// written, so that none is kept twice.
 type page struct{ w http.ResponseWriter }
 
-// labels are pairs of a label's name and its value.
+// labels are alternating names and values of labels.
 type labels []string
 
 func (p page) gauge(name string, v float64, l ...string) {
@@ -61,7 +61,7 @@
 	p.gauge(name, v, l...)
 }
 
-// String returns the labels as they stand behind a name.
+// String returns the labels in Prometheus text format, or "" if there are none.
 func (l labels) String() string {
 	if len(l) == 0 {
 		return ""
@@ -76,7 +76,7 @@
 	return "{" + b.String() + "}"
 }
 
-// writeState tells how the node as a whole stands.
+// writeState writes the state of the node as a whole.
 func (n *Node) writeState(p page) {
 	ready, _ := n.Ready()
 	p.flag("marlpass_node_ready", ready)
--- a/internal/node/metrics_control.go
+++ b/internal/node/metrics_control.go
@@ -7,7 +7,7 @@
 	"github.com/marlpass/marlpass/internal/gen/peerpb"
 )
 
-// writeMetrics tells what control does and what it costs.
+// writeMetrics writes the metrics of the control plane.
 func (c *control) writeMetrics(p page) {
 	c.writeConfig(p)
 	c.writeMembership(p)
@@ -57,7 +57,7 @@
 	}
 	for k, t := range s.Traffic {
 		if k == 0 {
-			continue // no message is of this kind
+			continue // KIND_UNSPECIFIED
 		}
 		kind := strings.ToLower(strings.TrimPrefix(peerpb.Kind(k).String(), "KIND_"))
 		p.counter("marlpass_membership_messages_total", t.Sent, "direction", "out", "kind", kind)
@@ -77,8 +77,8 @@
 	p.counter("marlpass_maintenance_outcomes_removed_total", f.trimmed.Load())
 }
 
-// writeAges tells how old is what this node knows. An age is left out as long as
-// nothing was heard at all.
+// writeAges writes the age of the last contact with peers and platform. An age is omitted before
+// the first contact.
 func (c *control) writeAges(p page, now time.Time) {
 	if at := c.lastHeardMs.Load(); at != 0 {
 		p.gauge("marlpass_peers_heard_age_seconds", now.Sub(time.UnixMilli(at)).Seconds())
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -9,8 +9,8 @@
 	"github.com/marlpass/marlpass/internal/call"
 )
 
-// Every metric that a node shows is in the operators' page, and the counts of a
-// class agree with what its callers got.
+// Guards against metrics that are missing on the operators' page, and against counts of a class
+// that differ from the answers its callers got.
 func TestMetricsAreTrueAndDocumented(t *testing.T) {
 	w := startMesh(t, 2, nil)
 	entry, dest := w.VMs[0], w.VMs[1]
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,41 +22,40 @@
 	"github.com/marlpass/marlpass/internal/settings"
 )
 
-// Options are what a node is made of.
+// Options configure a node and may replace its dependencies.
 type Options struct {
 	Settings settings.Node
 	Log      zerolog.Logger
-	// LostLines, if set, returns how many lines the log's writer has dropped
-	// since it was last asked.
+	// LostLines, if set, returns how many log lines the writer has dropped since the previous
+	// call.
 	LostLines func() uint64
-	// Table and Objects replace the platform client.
+	// Table and Objects, if set, are used instead of a platform client.
 	Table   platform.Table
 	Objects platform.Objects
-	// Source, if set, gives the versions that are accepted elsewhere; operators'
-	// commands are then refused here.
+	// Source, if set, supplies versions that are accepted outside this mesh; the node then refuses
+	// operators' commands.
 	Source follow.Source
-	// Orders, if set, reads operators' orders for rollouts, and Inbox holds those that
-	// Source has met. Without them the versions of backend servers make no difference.
+	// Orders, if set, reads operators' orders for rollouts, and Inbox holds the orders that Source
+	// has read. Without them the node ignores the versions of backend servers.
 	Orders rollout.Orders
 	Inbox  *rollout.Inbox
-	// Probe, if set, asks the backend server at an address who it is.
+	// Probe, if set, requests the identity of the backend server at an address.
 	Probe func(ctx context.Context, address, path string) (announce.Announcement, error)
 	// Metrics, if set, are served with the node's own.
 	Metrics *metrics.Set
-	// Dialect, if set, says what calls look like outside the mesh.
+	// Dialect, if set, translates calls from and to the format used outside the mesh.
 	Dialect proxy.Dialect
-	// Announce, if set, makes the handler by which backend servers announce
-	// themselves.
+	// Announce, if set, makes the handler that serves announcements of backend servers.
 	Announce func(AnnounceDeps) http.Handler
-	// Membership changes the membership's settings, for measurements.
+	// Membership, if set, changes the membership's settings, for measurements.
 	Membership func(*membership.Config)
-	// Dial opens the connections to other nodes, backend servers and the
-	// platform, by TCP if nil. Tests cut connections with it.
+	// Dial opens connections to other nodes, backend servers and the platform; nil means plain
+	// TCP. Tests use it to cut connections.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 	// Policies replace the node's own policies for calls, for measurements.
 	Policies Policies
-	// CallAddr, if set, gives the address at which other nodes reach the
-	// calls listener of this node, for tests with something between them.
+	// CallAddr, if set, returns the address at which other nodes reach this node's calls listener.
+	// Tests use it to put a proxy in between.
 	CallAddr func(listen string) string
 }
 
@@ -79,13 +78,13 @@
 	reports    *reports
 	findings   findings
 
-	// changed holds an element when refresh has something to look at.
+	// changed holds an element when a refresh is due.
 	changed chan struct{}
 	leaving atomic.Bool
-	// takesCalls says that the node holds a version it may carry traffic with.
+	// takesCalls reports whether the node holds a version recent enough to take calls.
 	takesCalls atomic.Bool
-	start      *startup
-	// superseded says that another process runs under this VM's ID.
+	startup    *startup
+	// superseded reports whether another process runs under this VM's ID.
 	superseded atomic.Bool
 	operators  *admin.Operators
 	controlCPU *controlCPUMeter
@@ -93,9 +92,9 @@
 	once       sync.Once
 }
 
-// New opens the sockets of a node and wires its parts. Nothing is served yet.
+// New opens the sockets of a node and wires its parts. Start serves them.
 func New(o Options) (*Node, error) {
-	n := &Node{o: o, set: o.Settings, log: o.Log, parts: newParts(), changed: make(chan struct{}, 1), start: newStartup(time.Now())}
+	n := &Node{o: o, set: o.Settings, log: o.Log, parts: newParts(), changed: make(chan struct{}, 1), startup: newStartup(time.Now())}
 	n.views.OnChange(n.wake)
 	store, err := config.NewStore(compile)
 	if err != nil {
@@ -152,7 +151,7 @@
 // Settings returns the settings that the node started with.
 func (n *Node) Settings() settings.Node { return n.set }
 
-// Ready reports whether the node carries traffic, and if not, why.
+// Ready reports whether the node takes calls and, if not, the reason.
 func (n *Node) Ready() (bool, string) {
 	switch {
 	case n.leaving.Load():
@@ -160,11 +159,11 @@
 	case n.superseded.Load():
 		return false, "another process runs under this VM's id"
 	}
-	if ok, why := n.control.distributor.Ready(); !ok {
-		return false, why
+	if ok, reason := n.control.distributor.Ready(); !ok {
+		return false, reason
 	}
-	// Calls go by what refresh noted, a moment later: a load balancer told
-	// "ready" before that would send calls that are refused as not ready.
+	// Calls are admitted by the state that refresh stores a moment later. A load balancer that
+	// got "ready" before that would send calls that are refused as not ready.
 	if !n.takesCalls.Load() {
 		return false, "the node is about to take calls"
 	}
@@ -174,11 +173,10 @@
 // Version returns the version in force.
 func (n *Node) Version() config.Version { return n.store.Load().Snapshot.Version() }
 
-// Endpoints returns how many backend servers of a service this node knows that
-// take calls.
+// Endpoints returns the number of backend servers of a service that this node sees as ready.
 func (n *Node) Endpoints(service string) int { return n.calls.pickers.readyBackends(service) }
 
-// Start serves everything, and returns at once.
+// Start starts serving and all background work, and returns at once.
 func (n *Node) Start() {
 	n.control.start(n.parts)
 	n.servers.start(n.parts)
@@ -196,12 +194,12 @@
 	warnPlainText(n.log, n.set)
 }
 
-// Failed is closed when a part of the node ended without being asked to; Err
-// then tells which. The node has to be stopped.
+// Failed returns a channel that is closed when a part of the node ends unexpectedly. Err then
+// returns the reason, and the node has to be shut down.
 func (n *Node) Failed() <-chan struct{} { return n.parts.failed }
 
-// Err returns why Failed was closed.
+// Err returns the reason why Failed was closed.
 func (n *Node) Err() error { return n.parts.err }
 
-// InFlight returns how many calls the node has in its hands.
+// InFlight returns the number of calls in flight at the node.
 func (n *Node) InFlight() int64 { return n.servers.calls.InFlight() }
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -9,38 +9,38 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// ServingState is what a node runs calls by at one moment.
+// ServingState is the state that a node serves calls with at one moment.
 type ServingState struct {
-	// TakesCalls says that the node takes calls. It was read first.
+	// TakesCalls reports whether the node takes calls. It is read before the other fields.
 	TakesCalls bool
 	Snapshot   *config.Snapshot
-	// ProgramVersion is the version that the program says it was compiled from.
+	// ProgramVersion is the version that the program was compiled from.
 	ProgramVersion config.Version
 }
 
-// ServingState returns what the node runs calls by.
+// ServingState returns the state that the node serves calls with.
 func (n *Node) ServingState() ServingState {
-	carries := n.takesCalls.Load()
+	takesCalls := n.takesCalls.Load()
 	f := n.store.Load()
-	return ServingState{TakesCalls: carries, Snapshot: f.Snapshot, ProgramVersion: f.Program.Version}
+	return ServingState{TakesCalls: takesCalls, Snapshot: f.Snapshot, ProgramVersion: f.Program.Version}
 }
 
-// Submit has the node take an operator's command, as its admin API does.
+// Submit submits an operator's command at the node, as its admin API does.
 func (n *Node) Submit(ctx context.Context, cmd command.Command) command.Result {
 	return n.control.commands.Submit(ctx, cmd)
 }
 
-// ControlBytes returns the bytes of the node's connections with other nodes,
-// read and written, with HTTP and TLS.
+// ControlBytes returns the bytes received and sent on the node's connections with other nodes,
+// including HTTP and TLS.
 func (n *Node) ControlBytes() (in, out uint64) { return n.control.peerMetrics.ConnectionBytes() }
 
 // MembershipStats returns the counters of the membership.
 func (n *Node) MembershipStats() membership.Stats { return n.control.members.Stats() }
 
-// View returns the membership as the node knows it.
+// View returns the membership as this node sees it.
 func (n *Node) View() *membership.View { return n.views.Load() }
 
-// Incarnation returns the incarnation of this start of the node.
+// Incarnation returns the incarnation of this run of the node.
 func (n *Node) Incarnation() uint64 { return n.self.Incarnation }
 
 // Conflicts returns the versions of other histories that the node saw.
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -18,13 +18,13 @@
 	"github.com/marlpass/marlpass/internal/settings"
 )
 
-// operatorTestTimeout ends a test that waits for what does not come.
+// operatorTestTimeout ends a test whose condition is never met.
 const operatorTestTimeout = time.Minute
 
 const otherToken = "token-of-the-harbour"
 
-// operatorMesh is a mesh of four nodes in two data centres, with a gate between each
-// node and the platform, and operators of two teams.
+// operatorMesh is a mesh of four nodes in two data centres, with a proxy between each node and the
+// platform, and operators of two teams.
 type operatorMesh struct {
 	*localmesh.Mesh
 	ctx     context.Context
@@ -62,7 +62,7 @@
 	return y
 }
 
-func (y *operatorMesh) cut(on bool) {
+func (y *operatorMesh) setPlatformDown(on bool) {
 	for _, g := range y.proxies {
 		g.down.Store(on)
 	}
@@ -81,9 +81,9 @@
 	return y.as(t, vm, localmesh.Token)
 }
 
-// state states the service berths and the target lookups, versions 1 and 2,
-// and waits until they are in force everywhere.
-func (y *operatorMesh) state(t *testing.T) {
+// configure sets the service berths and the target lookups as versions 1 and 2, and waits until
+// they are in force on all nodes.
+func (y *operatorMesh) configure(t *testing.T) {
 	t.Helper()
 	c := y.admin(t, 1)
 	if _, err := c.PutService(y.ctx, &adminapi.ServiceSpec{}, adminapi.PutServiceParams{Name: "berths"}); err != nil {
@@ -109,20 +109,19 @@
 	}
 }
 
-// eventually calls ok until it holds or the test's bound is over.
+// eventually polls ok until it returns true or the test times out.
 func (y *operatorMesh) eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for !ok() {
 		select {
 		case <-y.ctx.Done():
-			t.Fatalf("never seen: %s", what)
+			t.Fatalf("not observed before the timeout: %s", what)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// get makes one call through the VM's node and returns the status, or 0 when
-// there was no answer.
+// get makes one call through the VM's node and returns its status, or 0 without an answer.
 func (y *operatorMesh) get(t *testing.T, vm int, path string, header ...string) int {
 	t.Helper()
 	url := "http://" + y.VMs[vm].Node().Addrs().Callers + path
@@ -159,9 +158,10 @@
 	return 0
 }
 
+// Guards against history, diff, command and status answers that differ from the accepted commands.
 func TestOperatorReadsBackWhatWasStated(t *testing.T) {
 	y := newOperatorMesh(t)
-	y.state(t)
+	y.configure(t)
 	c := y.admin(t, 3)
 	h, err := c.GetHistory(y.ctx, adminapi.GetHistoryParams{Limit: adminapi.NewOptInt(1)})
 	if err != nil || len(h.Entries) != 1 || h.Next.Value != 2 {
@@ -184,7 +184,7 @@
 		}
 	}
 	if _, err := c.GetDiff(y.ctx, adminapi.GetDiffParams{From: 9}); status(err) != http.StatusNotFound {
-		t.Errorf("diff from a version that is not there: %v", err)
+		t.Errorf("diff from a missing version: %v", err)
 	}
 	r, err := c.GetCommand(y.ctx, adminapi.GetCommandParams{ID: "state-lookups"})
 	if err != nil || r.Outcome != adminapi.CommandRecordOutcomeAccepted || r.Version.Value.Number != 2 || r.By.Value != localmesh.Operator {
@@ -194,17 +194,18 @@
 	if err != nil || r.Outcome != adminapi.CommandRecordOutcomeNone {
 		t.Errorf("%+v, %v", r, err)
 	}
-	y.eventually(t, "a status that knows of all nodes and of the last version", func() bool {
+	y.eventually(t, "a status with all nodes and the last version", func() bool {
 		s, err := c.GetStatus(y.ctx)
 		return err == nil && s.Accepted.Number == 2 && s.Nodes == 4 && len(s.Spread) > 0 && s.Spread[0].Version == 2
 	})
 }
 
-// Calls go in at two nodes, and the operator asks a third: the figures are those
-// of the whole mesh, and nothing needs attention. Then a backend server drains.
+// Guards against a handover that covers only the node that serves it: calls enter at two nodes and
+// a third one is queried. The statistics must be those of the whole mesh, with no item that needs
+// attention, and a draining backend server must be listed.
 func TestHandoverTellsOfTheWholeMesh(t *testing.T) {
 	y := newOperatorMesh(t)
-	y.state(t)
+	y.configure(t)
 	y.startBackend(t, 0, "a")
 	y.startBackend(t, 2, "b")
 	if err := y.WaitEndpoints(y.ctx, "berths", 2); err != nil {
@@ -250,15 +251,16 @@
 	})
 }
 
+// Guards against a refused command that gets the wrong status or makes a version.
 func TestRefusedWithTheReason(t *testing.T) {
 	y := newOperatorMesh(t)
-	y.state(t)
+	y.configure(t)
 	c := y.admin(t, 2)
 	spec := lookups()
 	spec.Service = "surveys"
 	spec.Match.PathPrefix = "/surveys"
 	if _, err := c.PutTarget(y.ctx, spec, adminapi.PutTargetParams{Name: "surveys"}); status(err) != http.StatusConflict {
-		t.Errorf("a target to a missing service: %v", err)
+		t.Errorf("a target for a missing service: %v", err)
 	}
 	if _, err := y.as(t, 2, otherToken).PutTarget(y.ctx, lookups(), adminapi.PutTargetParams{Name: "lookups"}); status(err) != http.StatusForbidden {
 		t.Errorf("another team's target: %v", err)
@@ -274,15 +276,14 @@
 	}
 }
 
-// The platform takes an operator's change, its answer is lost, and then it is
-// down for everybody. Told "refused", the operator would state the change again;
-// told "accepted", nobody would look. It is unknown, and the id that came with
-// it settles it when the platform is back.
+// Guards against a wrong outcome when the platform commits a change, its answer is lost, and the
+// platform then goes down: after "refused" the operator would send the change again, after
+// "accepted" nobody would check. The outcome is unknown, and the command's ID resolves it later.
 func TestUnknownIsSettledLater(t *testing.T) {
 	y := newOperatorMesh(t)
-	y.state(t)
+	y.configure(t)
 	id := "lost-answer"
-	y.proxies[0].onDropped = func() { y.cut(true) }
+	y.proxies[0].onDropped = func() { y.setPlatformDown(true) }
 	y.proxies[0].dropAnswerOf.Store(&id)
 	c := y.admin(t, 0)
 	spec := lookups()
@@ -293,13 +294,13 @@
 	}
 	ask := adminapi.GetCommandParams{ID: "lost-answer"}
 	if _, err := c.GetCommand(y.ctx, ask); status(err) != http.StatusServiceUnavailable {
-		t.Errorf("asked while the platform is down: %v", err)
+		t.Errorf("command record while the platform is down: %v", err)
 	}
 	h, err := c.GetHandover(y.ctx, adminapi.GetHandoverParams{})
 	if err != nil || h.Platform.Reachable || len(h.Attention) == 0 || h.InForce.Number != 2 {
 		t.Errorf("handover while the platform is down: %+v, %v", h, err)
 	}
-	y.cut(false)
+	y.setPlatformDown(false)
 	y.eventually(t, "the command's record", func() bool {
 		r, err := c.GetCommand(y.ctx, ask)
 		return err == nil && r.Outcome == adminapi.CommandRecordOutcomeAccepted && r.Version.Value.Number == 3
@@ -309,11 +310,11 @@
 	}
 }
 
-// One node's way to the platform is cut while the others reach it. The operator
-// who happens to ask that node states a change: a peer carries it.
+// Guards against a command that is refused because one node is cut off from the platform: a peer
+// that reaches the platform has to commit it.
 func TestPeerCarriesACommand(t *testing.T) {
 	y := newOperatorMesh(t)
-	y.state(t)
+	y.configure(t)
 	y.proxies[0].down.Store(true)
 	c := y.admin(t, 0)
 	spec := lookups()
@@ -332,7 +333,7 @@
 	for vm, reachable := range []bool{false, true} {
 		h, err := y.admin(t, vm).GetHandover(y.ctx, adminapi.GetHandoverParams{})
 		if err != nil || h.Platform.Reachable != reachable || h.Platform.DownSince.Set == reachable {
-			t.Errorf("platform as seen by VM %d: %+v, %v", vm, h.Platform, err)
+			t.Errorf("platform state of VM %d: %+v, %v", vm, h.Platform, err)
 		}
 	}
 }
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -8,24 +8,23 @@
 	"sync/atomic"
 )
 
-// parts runs what a node does in the background.
+// parts runs the background work of a node.
 //
-// It guards against a node that lives on by half: a part that ends by itself (a
-// listener that is lost, a loop that returns) leaves a node that other nodes
-// still take for alive and send calls to. The first such end is told on failed,
-// and whoever runs the node stops it whole.
+// When a part ends unexpectedly (a listener is lost, a loop returns), other nodes would still see
+// the node as alive and send it calls. The first such end is therefore reported on failed, and the
+// owner of the node shuts it down.
 type parts struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	// leaving says that parts may end from now on.
+	// leaving is set before a stop; parts may end from then on.
 	leaving atomic.Bool
 	once    sync.Once
 	failed  chan struct{}
 	err     error // set before failed is closed
 }
 
-var errEnded = errors.New("it ended by itself")
+var errEnded = errors.New("it ended unexpectedly")
 
 func newParts() *parts {
 	p := &parts{failed: make(chan struct{})}
@@ -33,7 +32,7 @@
 	return p
 }
 
-// run starts a part, which has to go on until ctx ends.
+// run starts a part, which must run until ctx is done.
 func (p *parts) run(name string, f func(ctx context.Context) error) {
 	p.wg.Go(func() {
 		err := f(p.ctx)
@@ -53,7 +52,7 @@
 	})
 }
 
-// stop ends all parts and waits for them. Servers have to be closed before.
+// stop ends all parts and waits for them. Servers must be closed first.
 func (p *parts) stop() {
 	p.leaving.Store(true)
 	p.cancel()
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -15,7 +15,7 @@
 	"github.com/marlpass/marlpass/internal/telemetry"
 )
 
-// Heard implements peer.Distributor, and takes what answers tell.
+// Heard implements peer.Distributor. It also receives the envelopes of answers.
 func (c *control) Heard(e *peerpb.Envelope) {
 	c.lastHeardMs.Store(time.Now().UnixMilli())
 	c.distributor.Heard(e)
@@ -26,12 +26,11 @@
 	return c.distributor.ServePull(q)
 }
 
-// peerCommands carries out commands that other nodes could not.
+// peerCommands commits commands that other nodes could not commit.
 type peerCommands struct{ c *control }
 
-// Submit implements peer.Submitter. It goes to this node's own committer only,
-// so that no command wanders from node to node. That the operator asked for it
-// is the other node's word, so the log tells whose.
+// Submit implements peer.Submitter. It uses this node's own committer only, so that no command is
+// forwarded twice. Only the peer vouches for the operator's name, so the log names the peer.
 func (p peerCommands) Submit(ctx context.Context, from string, b []byte) ([]byte, error) {
 	var cmd command.Command
 	if err := json.Unmarshal(b, &cmd); err != nil {
@@ -44,18 +43,17 @@
 	return json.Marshal(res)
 }
 
-// commandFanOut is how many peers are asked to carry a command, if there are so
-// many; one of each other data centre is always asked.
+// commandFanOut is the least number of peers that a command is sent to, as far as there are that
+// many; one peer of each other data centre is always included.
 const commandFanOut = 3
 
-// submitPeers sends commands that this node cannot commit to peers that may.
+// submitPeers forwards commands that this node cannot commit to peers that may.
 type submitPeers struct{ c *control }
 
-// Submit implements command.Peers. A data centre that is cut off from the
-// platform is so as a whole, so one peer of each other data centre is asked,
-// all at once: asked in turn, the first that is cut off as well would spend the
-// time of all on its own tries. The command's ID keeps it from taking effect
-// twice, and the first final answer stands.
+// Submit implements command.Peers. A data centre usually loses the platform as a whole, so one
+// peer of each other data centre gets the command, all in parallel: in sequence, the first one
+// that is also cut off would use up the deadline with its own retries. The command's ID keeps it
+// from taking effect twice, and the first final answer counts.
 func (s submitPeers) Submit(ctx context.Context, cmd command.Command) (command.Result, error) {
 	b, err := json.Marshal(cmd)
 	if err != nil {
@@ -72,8 +70,8 @@
 		if a.final() {
 			return a.res, nil
 		}
-		// A lost answer leaves open whether that peer carried it out, so no
-		// other peer's refusal may stand for it.
+		// After a lost answer the command may have been committed, so another peer's
+		// refusal must not replace it.
 		if !errors.Is(out.err, errAnswerLost) {
 			out = a
 		}
@@ -81,13 +79,13 @@
 	return out.res, out.err
 }
 
-// peerAnswer is what one peer made of a command.
+// peerAnswer is one peer's answer to a command.
 type peerAnswer struct {
 	res command.Result
 	err error
 }
 
-// final reports whether no other peer's answer can differ.
+// final reports whether the answer holds for all peers.
 func (a peerAnswer) final() bool {
 	return a.err == nil && (a.res.Outcome == command.Accepted ||
 		a.res.Outcome == command.Refused && !a.res.Reason.Retryable())
@@ -106,11 +104,10 @@
 
 var errAnswerLost = errors.New("node: a peer's answer was lost")
 
-// addrs returns the control addresses of the peers to ask, one in each other
-// data centre first.
+// addrs returns the control addresses of the peers to use, one in each other data centre first.
 func (s submitPeers) addrs() []string {
 	v := s.c.n.views.Load()
-	var far, near []string
+	var remote, local []string
 	seen := make(map[string]bool)
 	ids := make([]string, 0, len(v.Records))
 	for id := range v.Records {
@@ -123,21 +120,20 @@
 		case id == v.Self || r.State != membership.VMAlive:
 		case r.VM.DataCentre != s.c.n.self.DataCentre && !seen[r.VM.DataCentre]:
 			seen[r.VM.DataCentre] = true
-			far = append(far, r.VM.ControlAddr)
+			remote = append(remote, r.VM.ControlAddr)
 		default:
-			near = append(near, r.VM.ControlAddr)
+			local = append(local, r.VM.ControlAddr)
 		}
 	}
-	all := append(far, near...)
-	return all[:min(len(all), max(commandFanOut, len(far)))]
+	all := append(remote, local...)
+	return all[:min(len(all), max(commandFanOut, len(remote)))]
 }
 
-// maxConcurrentAlerts bounds the alerts sent at once.
+// maxConcurrentAlerts bounds the alerts sent in parallel.
 const maxConcurrentAlerts = 16
 
-// alert tells the nodes that hold a service of notices, at once. Other entry
-// nodes hear by the membership; what must not wait is that the next endpoint
-// knows before it runs the request.
+// alert sends notices directly to the nodes that hold a service, so that the next endpoint has
+// them before it runs the request. Other entry nodes get them by the membership.
 func (c *control) alert(ctx context.Context, service string, ns []membership.Notice) {
 	msgs := make([]*peerpb.Notice, len(ns))
 	for i, n := range ns {
@@ -178,12 +174,12 @@
 	return false
 }
 
-// alerts takes other nodes' alerts.
+// alerts receives other nodes' alerts.
 type alerts struct{ n *Node }
 
-// Alert implements peer.Alerts. It passes over what a membership record could not
-// hold either: notices are kept until they expire, and those of a node that
-// means harm would take all the memory that control may have.
+// Alert implements peer.Alerts. It drops notices that a membership record could not hold either:
+// notices are kept until they expire, and a malicious node could otherwise use up the memory of
+// the control plane.
 func (a alerts) Alert(from string, ns []*peerpb.Notice) {
 	longest := membership.DefaultLimits().StringBytes
 	out := make([]membership.Notice, 0, len(ns))
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -18,9 +18,8 @@
 	"github.com/marlpass/marlpass/internal/quarantine"
 )
 
-// A node that somebody else ran had a change accepted in the name of an operator
-// who had not asked for it. The history named the operator, and no log of any
-// node of the mesh told through which node the command had come.
+// Guards against a command from a compromised node that cannot be traced: the history names only
+// the operator, who may not have sent it, so the log has to name the peer.
 func TestCommandOfAPeerIsLogged(t *testing.T) {
 	store := memory.New()
 	log := command.NewReader(store, store.Objects(), command.SnapshotFunc(config.Empty))
@@ -41,9 +40,9 @@
 	}
 }
 
-// A node that somebody else ran sent alerts whose notices were as long as a
-// message may be. Each was kept until it expired, up to 1,024 of them: hundreds
-// of megabytes, where control may have 128. Records have long been bounded.
+// Guards against alerts of a compromised node with notices of the maximum message size. Up to
+// 1,024 of them were kept until they expired, hundreds of megabytes, where the control plane may
+// use 128. Membership records already bound their notices.
 func TestLongNoticesOfAnAlertAreNotKept(t *testing.T) {
 	now := time.Now()
 	n := &Node{calls: &callPath{suspects: &suspects{list: quarantine.New(now, quarantine.Options{Self: "vm-0"})}}}
--- a/internal/node/program.go
+++ b/internal/node/program.go
@@ -7,15 +7,15 @@
 	"github.com/marlpass/marlpass/internal/proxy"
 )
 
-// program is what a snapshot compiles into for one node.
+// program is the compiled form of a snapshot for one node.
 type program struct {
 	proxy.Program
-	// limits holds the classes of each service, as gates want them.
+	// limits holds the classes of each service in the form that gates take.
 	limits map[string][]limit.Class
 }
 
-// compile turns a snapshot into the program that calls run by. It returns an
-// error, and changes nothing, when some part of the snapshot cannot be run.
+// compile builds the program that calls run by. It returns an error when any part of the snapshot
+// is invalid.
 func compile(s *config.Snapshot) (*program, error) {
 	m, err := match.Compile(s)
 	if err != nil {
@@ -48,13 +48,12 @@
 		Share:        t.Share,
 		Priority:     t.PriorityOrDefault(),
 		AnswerWithin: t.AnswerWithin(),
-		// Of the whole mesh; gates take their part of it.
+		// For the whole mesh; each gate applies its part.
 		RatePerSecond: t.RatePerSecond,
 	})
 }
 
-// matcher gives match.Matcher the shape that the proxy asks for, and draws the
-// part of a split that a call goes to.
+// matcher adapts match.Matcher to the proxy, and picks the part of a split for each call.
 type matcher struct {
 	m      *match.Matcher
 	splits map[string]*split
@@ -71,7 +70,7 @@
 	return c.Target, true
 }
 
-// targets finds the class of a call that another node matched.
+// targets finds the class of a call that another node has matched.
 type targets struct {
 	s      *config.Snapshot
 	splits map[string]*split
@@ -88,7 +87,7 @@
 	return nil
 }
 
-// programs gives the proxy the program in force.
+// programs returns the program in force to the proxy.
 type programs struct{ store *config.Store[*program] }
 
 func (p programs) Program() *proxy.Program { return &p.store.Load().Program.Program }
--- a/internal/node/reader.go
+++ b/internal/node/reader.go
@@ -14,12 +14,12 @@
 	"github.com/marlpass/marlpass/internal/query"
 )
 
-// readRetryAfter is when to ask again for what the platform could not tell.
+// readRetryAfter is the Retry-After of a read that the platform could not answer.
 const readRetryAfter = 2 * time.Second
 
 func (n *Node) snapshot() *config.Snapshot { return n.store.Load().Snapshot }
 
-// reader answers the admin API's questions.
+// reader serves the read requests of the admin API.
 type reader struct{ n *Node }
 
 var _ admin.Reader = (*reader)(nil)
@@ -27,8 +27,8 @@
 // Snapshot implements admin.Reader.
 func (r *reader) Snapshot() *config.Snapshot { return r.n.snapshot() }
 
-// Status implements admin.Reader. It asks nobody, so that it answers when
-// nothing else does.
+// Status implements admin.Reader. It uses local state only, so that it answers even when peers and
+// platform do not.
 func (r *reader) Status(context.Context) (*adminapi.Status, error) {
 	n, now := r.n, time.Now()
 	q := query.StatusOf(query.StatusInput{
@@ -70,8 +70,8 @@
 	return adminapi.StatusStateStarting
 }
 
-// platformState tells what this node's last calls say about the platform. A
-// table of a test has no such record, and is taken to answer.
+// platformState returns the state of the platform according to this node's latest calls. A table
+// set in Options keeps no such record and counts as answering.
 func (n *Node) platformState(now time.Time) query.PlatformState {
 	p := query.PlatformState{Accepted: n.control.log.Known()}
 	if n.control.client == nil {
@@ -89,9 +89,8 @@
 	return p
 }
 
-// spreadTimes tells how long the last versions took to come in force here,
-// newest first. A version that came in a snapshot is left out: when it was
-// accepted is not known here.
+// spreadTimes returns how long the latest versions took to come into force here, newest first. A
+// version that came in a snapshot is omitted, since its time of acceptance is unknown here.
 func (n *Node) spreadTimes() []query.VersionTime {
 	timeline := n.control.distributor.Timeline()
 	out := make([]query.VersionTime, 0, len(timeline))
@@ -120,12 +119,12 @@
 	return &admin.UnavailableError{Detail: "the platform can't tell: " + err.Error(), RetryAfter: readRetryAfter}
 }
 
-// headTries is how often an older head than the one known is read again: the
-// platform's reads may be stale for a moment.
+// headTries is the number of reads of a head that is older than the known one: the platform's
+// reads may be stale for a moment.
 const headTries = 3
 
-// head reads the platform's head. The error is a *command.HistoryError when the
-// platform keeps showing an older version or another history.
+// head reads the platform's head. The error is a *command.HistoryError when all reads show an
+// older version or another history.
 func (r *reader) head(ctx context.Context) (command.Head, error) {
 	var h command.Head
 	var err error
@@ -163,22 +162,22 @@
 
 // Diff implements admin.Reader.
 func (r *reader) Diff(ctx context.Context, from uint64, to *uint64) (*adminapi.Diff, error) {
-	a, err := r.at(ctx, from)
+	a, err := r.snapshotAt(ctx, from)
 	if err != nil {
 		return nil, err
 	}
 	b := r.n.snapshot()
 	if to != nil {
-		if b, err = r.at(ctx, *to); err != nil {
+		if b, err = r.snapshotAt(ctx, *to); err != nil {
 			return nil, err
 		}
 	}
 	return admin.DiffOf(query.Diff(a, b)), nil
 }
 
-// at returns the snapshot of a version: the one at hand, or else one made from
-// the platform's log and snapshot objects.
-func (r *reader) at(ctx context.Context, number uint64) (*config.Snapshot, error) {
+// snapshotAt returns the snapshot of a version: the cached one, or else one built from the platform's log
+// and snapshot objects.
+func (r *reader) snapshotAt(ctx context.Context, number uint64) (*config.Snapshot, error) {
 	if number == 0 {
 		return config.Empty(), nil
 	}
@@ -209,8 +208,8 @@
 	return s, nil
 }
 
-// headAt returns the head as it would be read if the version with that number
-// were the newest; its version stays zero when the log no longer holds that.
+// headAt returns the head as if the version with that number were the newest. Its version is zero
+// when the log no longer holds that one.
 func (r *reader) headAt(ctx context.Context, h command.Head, number uint64) (command.Head, error) {
 	out := command.Head{Floor: h.Floor}
 	for _, v := range h.Snapshots {
--- a/internal/node/refresh.go
+++ b/internal/node/refresh.go
@@ -11,15 +11,14 @@
 )
 
 const (
-	minRefreshInterval      = 50 * time.Millisecond // least time between two refreshes
-	supersededCheckInterval = time.Second           // looking whether the VM's ID was taken
+	minRefreshInterval      = 50 * time.Millisecond // minimum time between two refreshes
+	supersededCheckInterval = time.Second           // interval of checks for another process under this VM's ID
 )
 
-// refresh brings what is derived from the membership view and from the version
-// in force up to date. It is woken by both; the timer is for what tells of
-// itself to nobody, which is readiness and another process under this VM's ID.
-// Changes that come together are taken in together: while a data centre returns,
-// views follow each other faster than each could be worked on.
+// refresh updates the state derived from the membership view and the version in force. Both
+// trigger it; the timer covers readiness and another process under this VM's ID, which trigger
+// nothing. Changes are batched: while a data centre returns, views change faster than each could
+// be processed.
 func (n *Node) refresh(ctx context.Context) {
 	var done refreshState
 	for ctx.Err() == nil {
@@ -39,7 +38,7 @@
 	}
 }
 
-// refreshState is what refresh has taken in.
+// refreshState is the input of the last refresh.
 type refreshState struct {
 	view     *membership.View
 	snapshot *config.Snapshot
@@ -65,11 +64,11 @@
 	ok, _ := n.control.distributor.Ready()
 	n.takesCalls.Store(ok && !n.superseded.Load())
 	if ok {
-		n.start.end()
+		n.startup.end()
 	}
 }
 
-// wake makes refresh look now.
+// wake triggers a refresh.
 func (n *Node) wake() {
 	select {
 	case n.changed <- struct{}{}:
@@ -77,11 +76,11 @@
 	}
 }
 
-// notifyingStore is a node's store that wakes refresh when a version was offered.
+// notifyingStore is a node's store that triggers a refresh for every version offered.
 //
-// The gates follow at once, and not with the refresh: entry nodes send calls of
-// a new class as soon as they run the version, and a gate that does not know the
-// class yet would run them without its share, rate and priority.
+// It updates the gates at once, not with the refresh: entry nodes send calls of a new class as
+// soon as they run the version, and a gate without that class would run them without its share,
+// rate and priority.
 type notifyingStore struct{ n *Node }
 
 // Offer implements distribute.Store.
@@ -94,36 +93,35 @@
 	return inForce, err
 }
 
-// checkSuperseded stops the traffic of a node whose VM's ID another process has taken.
+// checkSuperseded stops the traffic of a node when another process runs under its VM's ID.
 //
-// It guards against two nodes under one name: a VM was replaced while its old
-// machine was cut off or paused, and that one comes back. The mesh believes the
-// process that started later, so calls for this one's backend servers go
-// elsewhere; whoever still reaches it would run on an old configuration. It
-// stays up, not ready, and does not end: a supervisor would start it anew, as
-// the later one, and the two would take the name from each other in turns.
+// This happens when a VM is replaced while its old machine is cut off or paused, and the old
+// machine returns. The mesh prefers the process that started later, so calls for this one's
+// backend servers go to the other; callers that still reach this one would run on an old
+// configuration. The node stays up, not ready: if it exited, a supervisor would restart it as the
+// later process, and the two would take the ID from each other in turns.
 func (n *Node) checkSuperseded() {
 	if n.superseded.Load() {
 		return
 	}
-	since, yes := n.control.members.Superseded()
-	if !yes {
+	since, taken := n.control.members.Superseded()
+	if !taken {
 		return
 	}
 	n.superseded.Store(true)
 	n.calls.dest.Drain()
 	n.log.Error().Time("since", since).
-		Msg("node: another process runs under this VM's id; this one takes no more calls, stop it")
+		Msg("node: another process runs under this VM's id; this node takes no more calls and has to be stopped")
 }
 
-// updateGates fits the gates to the backend servers here, the classes in force
-// and the number of backend servers elsewhere.
+// updateGates updates the gates for the backend servers here, the classes in force and the number
+// of ready backend servers in the mesh.
 func (n *Node) updateGates(now time.Time) {
 	holders := n.calls.pickers.readyBackends
 	n.calls.gates.update(now, n.registry.Load(), n.store.Load().Program, holders)
 }
 
-// backendsChanged takes in what backend servers announced.
+// backendsChanged applies changes that backend servers announced.
 func (n *Node) backendsChanged(changes []announce.Change) {
 	n.updateGates(time.Now())
 	n.control.publishBackends()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -11,9 +11,9 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Check finds out what New would refuse of settings that are valid in
-// themselves, without opening a socket: certificates that cannot be used now,
-// and operators' tokens that stand twice. Its errors are settings problems.
+// Check returns what New would refuse in settings that are valid in themselves, without opening a
+// socket: certificates that cannot be used now, and duplicate operator tokens. Its errors are
+// settings problems.
 func Check(s settings.Node) error {
 	if _, err := newTrust(s, zerolog.Nop(), peer.NewMetrics(metrics.NewSet())); err != nil {
 		return err
@@ -32,10 +32,9 @@
 	return out
 }
 
-// Reload takes the operators from s, and looks at once whether certificates
-// changed. Everything else keeps its running value; the log names what differs.
-// After an error nothing has changed. The log level is for whoever made the
-// logger.
+// Reload takes the operators from s and checks at once for changed certificates. All other
+// settings keep their running values; the log names those that differ. After an error nothing has
+// changed. The owner of the logger applies the log level.
 func (n *Node) Reload(s settings.Node) error {
 	if err := n.operators.Replace(operatorSettings(s)); err != nil {
 		return err
--- a/internal/node/report.go
+++ b/internal/node/report.go
@@ -18,15 +18,15 @@
 	"github.com/marlpass/marlpass/internal/query"
 )
 
-// Bounds of asking all nodes what they counted. One handover asks each node
-// once; operators who ask within reportCacheTTL of each other share the answers.
+// Limits for collecting reports from all nodes. A handover queries each node once; handovers within
+// reportCacheTTL of each other share the result.
 const (
 	reportTimeout        = 2 * time.Second
 	maxConcurrentReports = 256
 	reportCacheTTL       = 5 * time.Second
 )
 
-// reports tells what this node counted of its calls, and asks the others.
+// reports returns this node's call statistics and collects those of the other nodes.
 type reports struct {
 	n       *Node
 	queries singleflight.Group
@@ -34,10 +34,10 @@
 }
 
 // Report implements peer.Reporter.
-func (r *reports) Report() (*peerpb.Packed, error) { return packReport(r.own(time.Now())) }
+func (r *reports) Report() (*peerpb.Packed, error) { return packReport(r.ownReport(time.Now())) }
 
-// own returns this node's own report.
-func (r *reports) own(now time.Time) *peerpb.Report {
+// ownReport returns this node's own report.
+func (r *reports) ownReport(now time.Time) *peerpb.Report {
 	out := new(peerpb.Report)
 	for _, f := range r.n.calls.meters.Stats(now) {
 		if f.Answered > 0 || len(f.Refused) > 0 {
@@ -50,8 +50,8 @@
 
 func countsOf(f proxy.ClassStats) *peerpb.ClassCounts {
 	c := &peerpb.ClassCounts{Class: f.Class, Answered: f.Answered, Failed: f.Failed, Within: f.InTarget}
-	for why, n := range f.Refused {
-		c.Refused = append(c.Refused, &peerpb.RefusedCalls{Reason: string(why), Calls: n})
+	for reason, n := range f.Refused {
+		c.Refused = append(c.Refused, &peerpb.RefusedCalls{Reason: string(reason), Calls: n})
 	}
 	fine := make(query.Histogram, len(f.Latency))
 	for i, l := range f.Latency {
@@ -82,9 +82,8 @@
 	return out
 }
 
-// collect returns the reports of all nodes that carry traffic and answer within
-// the bound. It doesn't end with the operator's request: another one may wait
-// for the same answers.
+// collect returns the reports of all nodes that take calls and answer in time. It does not end
+// with the operator's request, since another request may wait for the same result.
 func (r *reports) collect(ctx context.Context) *query.Reports {
 	if last := r.last.Load(); last != nil && time.Since(last.At) < reportCacheTTL {
 		return last
@@ -103,7 +102,7 @@
 	peers := reportingNodes(r.n.views.Load())
 	out := query.NewReports()
 	out.Asked = len(peers) + 1
-	var mu sync.Mutex // guards out; not held while a peer is asked
+	var mu sync.Mutex // guards out; not held during a query
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentReports)
 	for _, p := range peers {
@@ -111,8 +110,8 @@
 			packed, err := r.n.control.peers.Report(ctx, p.ID, p.ControlAddr)
 			mu.Lock()
 			defer mu.Unlock()
-			// Under the lock, so that one report at a time is unpacked: many
-			// would take tens of megabytes.
+			// Unpacked under the lock, one report at a time: many at once would take
+			// tens of megabytes.
 			if err == nil {
 				err = addReport(out, p.ID, packed)
 			}
@@ -126,7 +125,7 @@
 	_ = g.Wait() // no function returns an error
 	slices.Sort(out.Missing)
 	out.At = time.Now()
-	out.Add(reportOf(r.n.self.ID, r.own(out.At)))
+	out.Add(reportOf(r.n.self.ID, r.ownReport(out.At)))
 	return out
 }
 
@@ -138,9 +137,8 @@
 	return err
 }
 
-// reportingNodes returns the other nodes that can be asked. Those that the
-// membership suspects are listed as silent anyway, and asking them would only
-// use up the bound.
+// reportingNodes returns the other nodes to query. Nodes under suspicion are listed as silent
+// anyway, and querying them would only use up the timeout.
 func reportingNodes(v *membership.View) []membership.VM {
 	var out []membership.VM
 	for id, r := range v.Records {
--- a/internal/node/report_test.go
+++ b/internal/node/report_test.go
@@ -18,16 +18,16 @@
 	"github.com/marlpass/marlpass/internal/query"
 )
 
-// Size of the mesh that the cost of a handover is measured for.
+// Size of the mesh for which the cost of a handover is measured.
 const (
 	fleetNodes    = 1200
 	fleetServices = 61
-	fleetClasses  = 3 // of each service
+	fleetClasses  = 3 // per service
 	fleetCalls    = 110_000 * 60 / fleetNodes
 )
 
-// fullLoadReports is a node whose meters counted a minute of the mesh's full load, over all
-// classes alike: the largest report there is.
+// fullLoadReports returns the reports of a node whose meters hold a minute of the mesh's full
+// load, spread evenly over all classes: the largest report possible.
 func fullLoadReports(now time.Time) (*reports, []*config.Target) {
 	n := &Node{self: membership.VM{ID: "neg-shed-001"}}
 	n.calls = &callPath{meters: proxy.NewMeters(), pickers: newPickers(n.self, false)}
@@ -48,10 +48,11 @@
 	return &reports{n: n}, targets
 }
 
+// Guards against counts that change when a report is packed, unpacked and summed.
 func TestReportCarriesTheCounts(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	r, targets := fullLoadReports(now)
-	packed, err := packReport(r.own(now))
+	packed, err := packReport(r.ownReport(now))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +75,8 @@
 	}
 }
 
-// A report with fewer counts than bounds, or none, is read as far as it goes.
+// Guards against a failure on a report with fewer counts than bounds, or none: it is read as far
+// as it is valid.
 func TestOddReportsAreRead(t *testing.T) {
 	odd := &peerpb.Report{Classes: []*peerpb.ClassCounts{
 		{Class: "a", Answered: 2, AtMostUs: []uint64{1, 2, 3}, Calls: []uint64{2}}, {},
@@ -85,12 +87,12 @@
 	}
 }
 
-// A peer may send anything; what can't be read is an error and takes no more
-// memory than the bound.
+// Guards against a malformed report from a peer: it is an error and takes no more memory than the
+// bound.
 func FuzzUnpackReport(f *testing.F) {
 	now := time.Unix(1_700_000_000, 0)
 	r, _ := fullLoadReports(now)
-	packed, err := packReport(r.own(now))
+	packed, err := packReport(r.ownReport(now))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -107,31 +109,30 @@
 	})
 }
 
-// BenchmarkReport measures what the largest report costs the node that makes
-// it, and its size.
+// BenchmarkReport measures the cost of the largest report for the node that makes it, and its
+// size.
 func BenchmarkReport(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
 	r, _ := fullLoadReports(now)
 	b.ReportAllocs()
 	var wire, plain int
 	for b.Loop() {
-		own := r.own(now)
-		packed, err := packReport(own)
+		ownReport := r.ownReport(now)
+		packed, err := packReport(ownReport)
 		if err != nil {
 			b.Fatal(err)
 		}
-		wire, plain = proto.Size(packed), proto.Size(own)
+		wire, plain = proto.Size(packed), proto.Size(ownReport)
 	}
 	b.ReportMetric(float64(wire), "wire-B")
 	b.ReportMetric(float64(plain), "plain-B")
 }
 
-// BenchmarkHandover measures what unpacking and adding up the reports of 1,200 nodes costs the
-// node that answers.
+// BenchmarkHandover measures the cost of unpacking and summing the reports of 1,200 nodes.
 func BenchmarkHandover(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
 	r, targets := fullLoadReports(now)
-	packed, err := packReport(r.own(now))
+	packed, err := packReport(r.ownReport(now))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -147,17 +148,17 @@
 	}
 }
 
-// BenchmarkHeld measures the memory that the reports of 1,200 nodes take when
-// all are kept, and what their sums take.
+// BenchmarkHeld measures the memory that the reports of 1,200 nodes take when all are kept, and
+// that of their sums.
 func BenchmarkHeld(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
 	r, _ := fullLoadReports(now)
-	own := r.own(now)
+	ownReport := r.ownReport(now)
 	b.Run("reports", func(b *testing.B) {
 		held(b, func() any {
 			var all []query.NodeReport
 			for range fleetNodes {
-				all = append(all, reportOf("vm", own))
+				all = append(all, reportOf("vm", ownReport))
 			}
 			return all
 		})
@@ -166,14 +167,14 @@
 		held(b, func() any {
 			all := query.NewReports()
 			for range fleetNodes {
-				all.Add(reportOf("vm", own))
+				all.Add(reportOf("vm", ownReport))
 			}
 			return all
 		})
 	})
 }
 
-// held reports the heap that what f returns takes.
+// held reports the heap size of the value that f returns.
 func held(b *testing.B, f func() any) {
 	var before, after runtime.MemStats
 	for b.Loop() {
--- a/internal/node/report_wire.go
+++ b/internal/node/report_wire.go
@@ -12,19 +12,19 @@
 	"github.com/marlpass/marlpass/internal/query"
 )
 
-// maxReportBytes bounds a report that is read, in bytes after unpacking: ten times
-// the largest one of a mesh with 61 services.
+// maxReportBytes bounds a report after unpacking: ten times the largest one of a mesh with 61
+// services.
 const maxReportBytes = 256 << 10
 
-// errBadReport means that a peer's report can't be read.
-var errBadReport = errors.New("node: a report can't be read")
+// errBadReport means that a peer's report cannot be decoded.
+var errBadReport = errors.New("node: report cannot be decoded")
 
 var (
 	reportEncoder = must(zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1)))
 	reportDecoder = must(zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxReportBytes)))
 )
 
-// must is for constructors that fail only for options that are not valid.
+// must panics on an error of a constructor that fails only for invalid options.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic("node: " + err.Error())
@@ -32,8 +32,8 @@
 	return v
 }
 
-// packReport marshals a report. The bounds of histograms are much the same in
-// each class, so compression takes off most of it.
+// packReport marshals and compresses a report. The histogram bounds are much the same in each
+// class, so compression removes most of the size.
 func packReport(r *peerpb.Report) (*peerpb.Packed, error) {
 	b, err := proto.Marshal(r)
 	if err != nil {
@@ -54,7 +54,7 @@
 		}
 	}
 	if len(data) > maxReportBytes {
-		return nil, fmt.Errorf("%w: it has %d bytes", errBadReport, len(data))
+		return nil, fmt.Errorf("%w: %d bytes after unpacking", errBadReport, len(data))
 	}
 	r := new(peerpb.Report)
 	if err := proto.Unmarshal(data, r); err != nil {
@@ -63,8 +63,7 @@
 	return r, nil
 }
 
-// reportOf reads what a node told. Counts without a bound that belongs to them
-// are left out.
+// reportOf converts a node's report. Histogram counts without a matching bound are dropped.
 func reportOf(vm string, a *peerpb.Report) query.NodeReport {
 	out := query.NodeReport{VM: vm, Classes: make(map[string]query.ClassCounts, len(a.Classes))}
 	for _, c := range a.Classes {
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -22,25 +22,24 @@
 // servers are the HTTP servers of one node.
 type servers struct {
 	n *Node
-	// traffic carries calls; side serves operators, backend servers and
-	// metrics.
+	// traffic serves calls; side serves operators, backend servers and metrics.
 	traffic, side []boundServer
-	// callers are those of traffic whose clients may send ahead.
+	// callers are the traffic servers whose clients may pipeline requests.
 	callers  []*pipeline.Server
 	announce *announce.Server
 	calls    drain.Calls
-	stop     drain.Servers    // those of traffic
-	conns    *telemetry.Conns // of other nodes that send calls
+	stop     drain.Servers    // the traffic servers
+	conns    *telemetry.Conns // from other nodes that send calls
 }
 
-// boundServer is a server with the socket it serves.
+// boundServer is a server with its listener.
 type boundServer struct {
 	server server
 	ln     net.Listener
 	tls    *tls.Config
 }
 
-// server is what the servers of a node have in common.
+// server is the common interface of the node's servers.
 type server interface {
 	Serve(net.Listener) error
 	Close() error
@@ -87,15 +86,15 @@
 	return s, nil
 }
 
-// callerServer returns a server for callers, who may send calls ahead.
+// callerServer returns a server for callers, who may pipeline calls.
 func (n *Node) callerServer(h http.Handler, log zerolog.Logger) *pipeline.Server {
 	return &pipeline.Server{
 		Handler: h, CanPipeline: n.calls.entry.MayRunAhead, Log: log, Limits: n.callerLimits,
 	}
 }
 
-// callerLimits returns what the version in force allows callers, and the node's
-// own bounds where it says nothing.
+// callerLimits returns the limits for callers in the version in force, with the node's defaults
+// for those not set.
 func (n *Node) callerLimits() pipeline.Limits {
 	stated := n.store.Load().Snapshot.Callers()
 	return pipeline.Limits{
@@ -105,8 +104,7 @@
 	}
 }
 
-// announceHandler returns the handler for backend servers that announce
-// themselves.
+// announceHandler returns the handler for announcements of backend servers.
 func (n *Node) announceHandler(own *announce.Server) (http.Handler, error) {
 	if n.o.Announce != nil {
 		return n.o.Announce(AnnounceDeps{Registry: n.registry, KnowsService: n.knowsService, OnChange: n.backendsChanged}), nil
@@ -114,27 +112,26 @@
 	return own.Handler()
 }
 
-// AnnounceDeps are what a handler for announcements is made of.
+// AnnounceDeps are the dependencies of a handler for announcements.
 type AnnounceDeps struct {
 	Registry *announce.Registry
-	// KnowsService reports whether a service is in the configuration in force, or the one
-	// that this VM's settings name.
+	// KnowsService reports whether a service is in the configuration in force, or is the one that
+	// this VM's settings name.
 	KnowsService func(service string) bool
 	// OnChange must be called after every change of the registry.
 	OnChange func([]announce.Change)
 }
 
-// knowsService keeps a name that nobody gave out from taking the place of the
-// backend server that is here. Before the first configuration, only the settings
-// tell of a service.
+// knowsService keeps an announcement under an unknown service name from replacing the backend
+// server here. Before the first configuration only the settings name a service.
 func (n *Node) knowsService(name string) bool {
 	return name == n.set.VM.Service || n.store.Load().Snapshot.Service(name) != nil
 }
 
-// readyHandler answers every request with 200 while the node takes calls.
+// readyHandler answers 200 while the node takes calls, otherwise 503.
 func (n *Node) readyHandler(w http.ResponseWriter, _ *http.Request) {
-	if ok, why := n.Ready(); !ok {
-		http.Error(w, why, http.StatusServiceUnavailable)
+	if ok, reason := n.Ready(); !ok {
+		http.Error(w, reason, http.StatusServiceUnavailable)
 	}
 }
 
@@ -164,17 +161,16 @@
 	}
 }
 
-// leave asks clients to go elsewhere: each answer from now on ends its
-// connection.
+// leave makes each answer from now on close its connection, so that clients go to other nodes.
 func (s *servers) leave() { s.calls.StartDraining() }
 
-// cancelTimeout is how long answers may take to go out once the calls in flight were
-// given up: some ways to the farthest data centre and back. It fits into what a stop
-// keeps free of the platform's grace.
+// cancelTimeout bounds how long answers may take to be sent once the calls in flight are
+// cancelled: several round trips to the farthest data centre. It fits into the part of the
+// platform's grace period that a stop reserves.
 const cancelTimeout = 300 * time.Millisecond
 
-// drain closes the sockets for calls, and waits, up to limit, for the calls in flight and for those
-// that still come on connections. It returns how many calls were left, which were given up.
+// drain closes the listeners for calls and waits, up to limit, for the calls in flight and those
+// that still arrive on open connections. It returns the number of calls that were cancelled.
 func (s *servers) drain(ctx context.Context, limit time.Duration) int64 {
 	bounded, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -183,13 +179,13 @@
 		return 0
 	}
 	left := s.calls.InFlight()
-	s.n.log.Warn().Err(err).Int64("calls", left).Msg("node: connections were still open at the drain limit, they are closed at once")
+	s.n.log.Warn().Err(err).Int64("calls", left).Msg("node: connections still open at the drain limit, closing them")
 	s.cancelCalls(ctx)
 	return left
 }
 
-// cancelCalls ends the calls of callers with an answer of this node's own, behind which
-// the answers that are ready still go out.
+// cancelCalls ends the callers' calls with an answer from this node, after which the answers that
+// are ready are still sent.
 func (s *servers) cancelCalls(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
@@ -197,14 +193,14 @@
 	for _, p := range s.callers {
 		all.Go(func() {
 			if err := p.CancelRequests(ctx); err != nil {
-				s.n.log.Warn().Err(err).Msg("node: answers were still due when the time to send them was over")
+				s.n.log.Warn().Err(err).Msg("node: some answers could not be sent before the time limit")
 			}
 		})
 	}
 	all.Wait()
 }
 
-// close ends all servers at once.
+// close closes all servers at once.
 func (s *servers) close() {
 	for _, list := range [][]boundServer{s.traffic, s.side} {
 		for _, b := range list {
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -6,26 +6,25 @@
 	"time"
 )
 
-// Times of a call that comes while the node starts.
+// Limits for calls that arrive while the node starts.
 const (
-	// startupMaxWait is how long such a call waits for the node to be ready. A small VM takes
-	// about half a second from its start to its first version, and callers whose aim is a
+	// startupMaxWait bounds how long such a call waits for the node to be ready. A small VM takes
+	// about half a second from its start to its first version, so callers with a target of one
 	// second are still answered in time.
 	startupMaxWait = 500 * time.Millisecond
-	// startupWindow is how old a node may be for calls to wait for it. One that is not ready by
-	// then lacks the platform or its peers, and nobody knows for how long.
+	// startupWindow is the time after the start of the node in which calls wait. A node that is
+	// not ready by then lacks the platform or its peers, for an unknown time.
 	startupWindow = 2 * time.Second
-	// startupRetryAfter is about when a caller who was refused is told to come back. Half of it to
-	// one and a half, so that those refused together don't come back together.
+	// startupRetryAfter is the mean Retry-After of a refused call. Callers get half of it to one
+	// and a half times it, so that those refused together do not retry together.
 	startupRetryAfter = 500 * time.Millisecond
 )
 
-// startup is the time between a node's first listener and its first version.
+// startup lets calls wait until the node holds its first version.
 //
-// Calls wait for its end. A node that has just started is reached by its callers at once,
-// since they never took it off their lists: 68 VMs that were killed together were back
-// within 60 ms, and in the second until they were ready 768 callers of one second
-// were refused, each with one more try left to it.
+// Callers reach a restarted node at once, since they never removed it from their lists. After 68
+// VMs were killed together and were back within 60 ms, 768 callers with a target of one second
+// were refused in the second until the nodes were ready, each with one attempt left.
 type startup struct {
 	began time.Time
 	done  chan struct{}
@@ -34,7 +33,7 @@
 
 func newStartup(now time.Time) *startup { return &startup{began: now, done: make(chan struct{})} }
 
-// end lets the calls that wait go on.
+// end releases the waiting calls.
 func (s *startup) end() { s.once.Do(func() { close(s.done) }) }
 
 // Await implements proxy.Readiness.
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// All VMs of a data centre lose power and are back within a moment. Callers reach a node that
-// has no version yet. It used to refuse each of them, though it was ready 0.4 s later and
-// could have answered most within their class's aim.
+// Guards against refused calls after all VMs of a data centre restart at once: callers reach a
+// node without a version, which is ready 0.4 s later and can still answer most of them within
+// their class's target.
 func TestCallsWaitForAStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStartup(time.Now())
 		time.AfterFunc(400*time.Millisecond, s.end)
 		time.Sleep(100 * time.Millisecond)
 		waited(t, s, t.Context(), 300*time.Millisecond)
-		waited(t, s, t.Context(), 0) // it has started
+		waited(t, s, t.Context(), 0) // the node has started
 	})
 }
 
-// The platform is down while a node starts. Nobody knows how long that takes, so callers are
-// not kept: the first ones wait a moment, those who come later are told at once.
+// Guards against calls kept waiting while the platform is down during a start: the first ones wait
+// for a bounded time, later ones are refused at once.
 func TestCallsDontWaitForAStartThatFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStartup(time.Now())
--- a/internal/node/starting_test.go
+++ b/internal/node/starting_test.go
@@ -15,9 +15,8 @@
 	"github.com/marlpass/marlpass/internal/settings/strict"
 )
 
-// A node starts and has heard of nobody yet, and an operator's command reaches
-// it. The platform's table may be wiped or restored from a backup, and this
-// node would not notice: it has to send the operator elsewhere.
+// Guards against a command accepted by a node that has not reached any peer: it would not notice
+// that the platform's table was wiped or restored from a backup, so it refuses.
 func TestStartingNodeRefusesCommands(t *testing.T) {
 	m, err := localmesh.Start(localmesh.Options{
 		Name: "starting", Profile: settings.ProfileTime, Log: zerolog.Nop(),
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -11,17 +11,16 @@
 )
 
 const (
-	defaultDrainNotice = 2 * time.Second // for the word of leaving to get around
-	shutdownGrace      = 5 * time.Second // for everything but calls in flight
+	defaultDrainNotice = 2 * time.Second // for the announcement to spread
+	shutdownGrace      = 5 * time.Second // for everything except calls in flight
 )
 
-// ErrDrainLimit means that a planned stop cut off calls, because they were
-// still in flight at the limit.
+// ErrDrainLimit means that a planned stop cut off calls that were still in flight at the drain
+// limit.
 var ErrDrainLimit = errors.New("node: calls were still in flight at the drain limit")
 
-// Shutdown stops the node gracefully: it tells the mesh, refuses new calls, and
-// waits for those in flight until the drain limit. It returns ErrDrainLimit if
-// that was hit.
+// Shutdown stops the node gracefully: it announces that the node leaves, refuses new calls, and
+// waits for those in flight until the drain limit. It returns ErrDrainLimit if calls were cut off.
 func (n *Node) Shutdown(ctx context.Context) error {
 	var err error
 	if defect.On(defect.StopAtOnce) {
@@ -56,10 +55,10 @@
 	return nil
 }
 
-// announceLeaving goes on taking calls until whoever sends them has learned that the
-// node leaves. Callers learn it by its readiness, which they ask for now and then,
-// and the other nodes at once by the membership. So those may be told later: till
-// then the backend server here runs calls of the whole mesh.
+// announceLeaving keeps taking calls until callers and other nodes know that the node leaves.
+// Callers learn it by polling its readiness, other nodes at once by the membership. The membership
+// may thus be informed later (drain.word): until then the backend server here serves the whole
+// mesh.
 func (n *Node) announceLeaving(ctx context.Context) {
 	notice, word := n.set.Drain.NoticeOr(defaultDrainNotice), n.set.Drain.Word.Duration
 	if word > 0 {
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -19,9 +19,9 @@
 	"github.com/marlpass/marlpass/internal/settings/strict"
 )
 
-// caller is a program outside the mesh that keeps to the rule: it sends a call
-// again only after "not run" or when no connection was made, and it leaves a node
-// that is going to stop, as a load balancer that asks /readyz would.
+// caller is a client outside the mesh that follows the retry rule: it sends a call again only
+// after "not run" or a failed dial, and it avoids a node that is about to stop, as a load balancer
+// that polls /readyz does.
 type caller struct {
 	w      *testMesh
 	client http.Client
@@ -31,8 +31,7 @@
 	return &caller{w: w, client: http.Client{Transport: new(http.Transport)}}
 }
 
-// call makes one call, at one node after the other, and returns what is wrong
-// with it, or nil.
+// call makes one call, trying one node after the other, and returns an error if it fails.
 func (c *caller) call(method, path, id string) error {
 	for n := 0; c.w.ctx.Err() == nil; n++ {
 		node := c.w.VMs[n%len(c.w.VMs)].Node()
@@ -56,23 +55,22 @@
 	return c.w.ctx.Err()
 }
 
-// All nodes of a mesh are replaced one after the other by an upgrade, while
-// callers go on and one of them pulls an archive that takes longer than a stop's
-// notice. Users would see a booking lost or made twice, or the archive cut off,
-// if a node closed a connection with a call on it, told its end too late, or came
-// back before it may take calls.
+// Guards against a booking that is lost or made twice, or an archive that is cut off, while all
+// nodes are replaced one after the other. It happens if a node closes a connection with a call on
+// it, announces its end too late, or takes calls too early. One caller downloads an archive for
+// longer than a stop's notice.
 func TestRollingReplacementUnderCalls(t *testing.T) {
 	t.Parallel()
 	w := startMesh(t, 4, nil)
 	w.hold(w.VMs...)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var wrong []error
+	var failures []error
 	report := func(err error) {
 		if err != nil {
 			mu.Lock()
 			defer mu.Unlock()
-			wrong = append(wrong, err)
+			failures = append(failures, err)
 		}
 	}
 	var stop atomic.Bool
@@ -90,11 +88,11 @@
 	}
 	for _, vm := range w.VMs {
 		w.waitCalls(&calls, 50)
-		// Its backend servers stay; they announce themselves to the new node.
+		// Its backend server keeps running and announces itself to the new node.
 		w.addrs = vm.Node().Addrs()
-		pulled := w.pull(vm)
+		downloaded := w.download(vm)
 		w.must(vm.Stop(w.ctx))
-		report(pulled())
+		report(downloaded())
 		w.restart(vm)
 		w.must(w.WaitReady(w.ctx))
 		w.must(w.WaitVersion(w.ctx, w.version))
@@ -103,8 +101,8 @@
 	w.waitCalls(&calls, 50)
 	stop.Store(true)
 	wg.Wait()
-	if len(wrong) > 0 {
-		t.Errorf("%d of %d calls went wrong, the first: %v", len(wrong), calls.Load(), wrong[0])
+	if len(failures) > 0 {
+		t.Errorf("%d of %d calls failed, the first: %v", len(failures), calls.Load(), failures[0])
 	}
 	if runs, requests := w.runs(); runs != requests {
 		t.Errorf("%d requests were run %d times", requests, runs)
@@ -112,9 +110,9 @@
 	t.Logf("%d calls", calls.Load())
 }
 
-// restart starts the node of a VM anew. Its backend server finds it again, unless
-// some connection of this machine got the port of the announce API meanwhile; then
-// the VM gets another backend server.
+// restart starts the node of a VM again. Its backend server reconnects to it, unless another
+// connection of this machine got the port of the announce API meanwhile; then the VM gets a new
+// backend server.
 func (w *testMesh) restart(vm *localmesh.VM) {
 	w.t.Helper()
 	w.must(w.StartNode(vm))
@@ -123,12 +121,11 @@
 	}
 }
 
-// pull begins a long download through a VM's node and returns when its first
-// part has come. The function returned waits for its end, and says what is wrong
-// with it.
-func (w *testMesh) pull(vm *localmesh.VM) func() error {
+// download begins a long download through a VM's node and returns when the response header has
+// arrived. The function returned waits for the end and returns the error, if any.
+func (w *testMesh) download(vm *localmesh.VM) func() error {
 	w.t.Helper()
-	// 16 KiB a part, and a pause of 100 ms after each: about three seconds.
+	// 16 KiB per part and a pause of 100 ms after each: about three seconds.
 	const path = lookup + "/archive?bytes=500000&pause=100ms"
 	req, err := http.NewRequestWithContext(w.ctx, http.MethodGet, "http://"+vm.Node().Addrs().Callers+path, nil)
 	w.must(err)
@@ -152,28 +149,27 @@
 	return func() error { return <-end }
 }
 
-// A planned stop meets a call that does not end. The stop must not wait for
-// ever, and must say how many calls it cut off.
+// Guards against a planned stop that waits for ever on a call that does not end, or does not
+// report how many calls it cut off.
 func TestDrainLimitIsReported(t *testing.T) {
 	t.Parallel()
 	w := startMesh(t, 2, func(_ *localmesh.VM, o *node.Options) {
 		o.Settings.Drain.Limit = strict.Duration{Duration: time.Millisecond}
 	})
 	w.hold(w.VMs[1])
-	rest := w.pull(w.VMs[0])
+	rest := w.download(w.VMs[0])
 	err := w.VMs[0].Stop(w.ctx)
 	if !errors.Is(err, node.ErrDrainLimit) || !strings.Contains(err.Error(), ": 1 after 1ms") {
 		t.Errorf("got %v", err)
 	}
 	if rest() == nil {
-		t.Error("a cut answer looked whole")
+		t.Error("a cut-off answer passed as complete")
 	}
 }
 
-// A caller keeps a connection to a node that leaves. Each answer has to tell it
-// that the connection ends: were it closed without a word while the caller sends
-// its next call, the caller could not know whether that call ran. And an idle
-// connection must stay open during the notice.
+// Guards against a leaving node that closes a kept connection without notice: a caller that is
+// sending its next call could not know whether it ran. Each answer has to announce the close, and
+// an idle connection stays open during the notice.
 func TestLeavingNodeEndsConnectionsWithAnAnswer(t *testing.T) {
 	t.Parallel()
 	w := startMesh(t, 2, nil)
@@ -198,8 +194,8 @@
 	w.must(<-stopped)
 }
 
-// A listener of a node breaks. The node must tell, so that the process ends and
-// is started anew: half a node still answers probes, and calls are sent to it.
+// Guards against a node that keeps running after it lost a listener: it still answers probes, and
+// calls are sent to it. The failure has to be reported, so that the process is restarted.
 func TestFailedPartIsReported(t *testing.T) {
 	t.Parallel()
 	w := startMesh(t, 2, nil)
@@ -213,7 +209,7 @@
 	select {
 	case <-n.Failed():
 	case <-w.ctx.Done():
-		t.Fatal("not told")
+		t.Fatal("the failure was not reported")
 	}
 	if err := n.Err(); err == nil || !strings.Contains(err.Error(), "listener") {
 		t.Errorf("got %v", err)
@@ -221,14 +217,14 @@
 	w.must(w.VMs[0].Stop(context.Background()))
 }
 
-// A VM is replaced while its old machine is cut off; then the old one comes back
-// into the network. Two processes answer under one name. The old one must take no
-// calls any more, and say so; the new one goes on.
+// Guards against two processes that serve under one VM's ID, after a VM was replaced while its old
+// machine was cut off and the old one returns. The old one must refuse calls and report why; the
+// new one continues.
 func TestSupersededNodeTakesNoCalls(t *testing.T) {
 	t.Parallel()
 	w := startMesh(t, 3, func(_ *localmesh.VM, o *node.Options) {
-		// A node that has just joined takes a later record under its name for
-		// its own from before a restart.
+		// A node that has just joined takes a later record under its ID for its own from
+		// before a restart.
 		before := o.Membership
 		o.Membership = func(c *membership.Config) {
 			if before != nil {
--- a/internal/node/tls_test.go
+++ b/internal/node/tls_test.go
@@ -21,8 +21,8 @@
 	"github.com/marlpass/marlpass/internal/trust/trusttest"
 )
 
-// issue writes a certificate of the test mesh for a VM into its directory.
-func issue(ca *trusttest.CA, root, vm string) settings.TLS {
+// issueCert writes a certificate of the test mesh for a VM to the VM's directory.
+func issueCert(ca *trusttest.CA, root, vm string) settings.TLS {
 	dir := filepath.Join(root, vm)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		panic(err)
@@ -31,13 +31,12 @@
 	return settings.TLS{CA: f.CA, Cert: f.Cert, Key: f.Key}
 }
 
-// A mesh with certificates carries calls from node to node, and its calls
-// listener runs nothing for anybody else: whoever reached it could otherwise
-// pass by targets, limits and quarantine of the entry node.
+// Guards against a calls listener that serves clients other than nodes of the mesh: they could
+// bypass the targets, limits and quarantine of the entry node.
 func TestCallsBetweenNodesAreMutualTLS(t *testing.T) {
 	t.Parallel()
 	ca, root := trusttest.NewCA(t), t.TempDir()
-	w := startMesh(t, 2, func(vm *localmesh.VM, o *node.Options) { o.Settings.TLS = issue(ca, root, vm.ID) })
+	w := startMesh(t, 2, func(vm *localmesh.VM, o *node.Options) { o.Settings.TLS = issueCert(ca, root, vm.ID) })
 	entry, dest := w.VMs[0], w.VMs[1]
 	w.hold(dest)
 	for i, path := range []string{lookup, book} {
@@ -80,11 +79,11 @@
 		}
 	}
 	if after, _ := w.runs(); after != before {
-		t.Errorf("%d calls of strangers were run", after-before)
+		t.Errorf("%d calls from outside the mesh were run", after-before)
 	}
 }
 
-// redirector leads connections to one address to another.
+// redirector dials another address in place of a given one.
 type redirector struct {
 	mu        sync.Mutex
 	redirects map[string]string
@@ -107,57 +106,55 @@
 	s.redirects[from] = to
 }
 
-// The address of a VM passes to another VM of the mesh while an entry node still
-// knows the old one under it. The call must not reach the VM that nobody chose,
-// and its caller must be told that it was not run, so that a booking may be sent
-// again.
+// Guards against a call that reaches the wrong VM after an address has passed to another VM of the
+// mesh while the entry node still maps it to the old one. The caller must get "not run", so that a
+// booking may be sent again.
 func TestAddressOfAnotherVMIsRejected(t *testing.T) {
 	t.Parallel()
 	ca, root := trusttest.NewCA(t), t.TempDir()
-	board := &redirector{redirects: make(map[string]string)}
+	addrs := &redirector{redirects: make(map[string]string)}
 	w := startMesh(t, 3, func(vm *localmesh.VM, o *node.Options) {
-		o.Settings.TLS = issue(ca, root, vm.ID)
+		o.Settings.TLS = issueCert(ca, root, vm.ID)
 		if vm.ID == "neg-01" {
-			o.Dial = board.dialer(o.Dial)
+			o.Dial = addrs.dialer(o.Dial)
 		}
 	})
 	entry, old, other := w.VMs[0], w.VMs[1], w.VMs[2]
 	w.hold(old)
-	board.redirect(old.Node().Addrs().Calls, other.Node().Addrs().Calls)
+	addrs.redirect(old.Node().Addrs().Calls, other.Node().Addrs().Calls)
 	a := w.ask(entry, http.MethodPost, book, "b1")
 	if a.notRun != call.ReasonUnreachable || a.status != http.StatusServiceUnavailable {
 		t.Errorf("got %s", a)
 	}
 	if w.metric(entry, `marlpass_peer_refused_total{reason="other_vm"}`) < 1 {
-		t.Error("not counted")
+		t.Error("the refusal is not counted")
 	}
 	if runs, _ := w.runs(); runs != 0 {
-		t.Error("it was run")
+		t.Error("the call was run")
 	}
-	board.redirect(old.Node().Addrs().Calls, "")
+	addrs.redirect(old.Node().Addrs().Calls, "")
 	if a := w.ask(entry, http.MethodPost, book, "b2"); a.status != http.StatusOK {
 		t.Errorf("after the address came back: %s", a)
 	}
 }
 
-// All VMs' certificates pass to a new authority while calls go on: first every
-// node trusts both, then each gets a new certificate, then the old authority
-// goes. No call may fail, no node restart, and a node that starts afterwards and
-// knows the new authority alone has to get in and take calls.
+// Guards against failed calls or restarts while all certificates move to a new authority: first
+// every node trusts both, then each gets a new certificate, then the old authority is removed. A
+// node that starts afterwards with the new authority alone has to join and take calls.
 func TestCertificatesRotateUnderCalls(t *testing.T) {
 	t.Parallel()
 	root := t.TempDir()
 	oldCA, newCA := trusttest.NewCA(t), trusttest.NewCA(t)
 	current := oldCA
-	w := startMesh(t, 3, func(vm *localmesh.VM, o *node.Options) { o.Settings.TLS = issue(current, root, vm.ID) })
+	w := startMesh(t, 3, func(vm *localmesh.VM, o *node.Options) { o.Settings.TLS = issueCert(current, root, vm.ID) })
 	late := w.VMs[2]
 	late.Kill()
 	w.hold(w.VMs[1])
 	ended, failed := w.keepCalling(w.VMs[0], w.VMs[1])
 	both := func(files settings.TLS) {
-		a, err := os.ReadFile(issue(oldCA, t.TempDir(), "x").CA)
+		a, err := os.ReadFile(issueCert(oldCA, t.TempDir(), "x").CA)
 		w.must(err)
-		b, err := os.ReadFile(issue(newCA, t.TempDir(), "x").CA)
+		b, err := os.ReadFile(issueCert(newCA, t.TempDir(), "x").CA)
 		w.must(err)
 		w.must(os.WriteFile(files.CA, append(a, b...), 0o600))
 	}
@@ -169,8 +166,8 @@
 		w.waitCalls(ended, 20)
 	}
 	step(func(vm string) { both(filesOf(root, vm)) })
-	step(func(vm string) { both(issue(newCA, root, vm)) })
-	step(func(vm string) { issue(newCA, root, vm) })
+	step(func(vm string) { both(issueCert(newCA, root, vm)) })
+	step(func(vm string) { issueCert(newCA, root, vm) })
 	current = newCA
 	w.must(w.StartNode(late))
 	w.must(w.WaitReady(w.ctx))
--- a/internal/node/trace_test.go
+++ b/internal/node/trace_test.go
@@ -21,7 +21,7 @@
 	"github.com/marlpass/marlpass/internal/settings"
 )
 
-// collector takes spans over OTLP/HTTP, as a trace collector does.
+// collector receives spans over OTLP/HTTP.
 type collector struct {
 	mu    sync.Mutex
 	spans map[string]*tracepb.Span // by name
@@ -45,10 +45,9 @@
 	}
 }
 
-// An operator looks for where a slow lookup spent its time. The caller sampled
-// its trace, so the entry node and the destination node must each have sent a
-// span of it, the second below the first, and the backend server must be able
-// to go on from there.
+// Guards against a missing or misplaced span of a trace that the caller sampled: the entry node
+// and the destination node each send a span, the second as a child of the first, and the backend
+// server can continue the trace.
 func TestEachHopHasASpanOfTheCallersTrace(t *testing.T) {
 	c := &collector{spans: map[string]*tracepb.Span{}}
 	collecting := httptest.NewServer(c)
@@ -77,7 +76,7 @@
 	if err := backend.CheckAnswer("traced", resp.Body); err != nil {
 		t.Fatal(resp.Status, err)
 	}
-	// A stop sends the spans that still wait.
+	// A stop flushes the pending spans.
 	for _, vm := range m.VMs {
 		if err := vm.Stop(ctx); err != nil {
 			t.Fatal(err)
@@ -90,16 +89,15 @@
 		t.Fatalf("got the spans %v, want one of entry and one of destination", c.spans)
 	}
 	if string(entry.ParentSpanId) != "\xb7\xad\x6b\x71\x69\x20\x33\x31" {
-		t.Errorf("the entry's span lies under %x, want the caller's", entry.ParentSpanId)
+		t.Errorf("the entry's span has parent %x, want the caller's", entry.ParentSpanId)
 	}
 	if string(dest.ParentSpanId) != string(entry.SpanId) || string(dest.TraceId) != string(entry.TraceId) {
-		t.Errorf("the destination's span lies under %x of trace %x, want %x of %x",
+		t.Errorf("the destination's span has parent %x in trace %x, want %x in %x",
 			dest.ParentSpanId, dest.TraceId, entry.SpanId, entry.TraceId)
 	}
 }
 
-// stateLookups puts one service and one class in force, with one backend server
-// beside the first node.
+// stateLookups puts one service and one target in force, with one backend server on the first VM.
 func stateLookups(ctx context.Context, t *testing.T, m *localmesh.Mesh) {
 	t.Helper()
 	if err := m.WaitReady(ctx); err != nil {
--- a/internal/node/trust.go
+++ b/internal/node/trust.go
@@ -13,8 +13,7 @@
 	"github.com/marlpass/marlpass/internal/trust"
 )
 
-// trustFiles holds the certificates of a node. Either may be nil, which means
-// plain text.
+// trustFiles holds the certificates of a node. Either may be nil, which means plain text.
 type trustFiles struct{ mesh, operators *trust.Keeper }
 
 func newTrust(s settings.Node, log zerolog.Logger, m *peer.Metrics) (*trustFiles, error) {
@@ -40,13 +39,13 @@
 	return out, err
 }
 
-// warnPlainText names the listeners that certificates should protect and do not.
-// It is no error: a network may be private, or encrypted below TCP.
+// warnPlainText logs each listener on a non-loopback address without TLS. This is no error: the
+// network may be private, or encrypted below TCP.
 func warnPlainText(log zerolog.Logger, s settings.Node) {
 	log = telemetry.Part(log, "trust")
 	for _, key := range s.PlainText() {
 		log.Warn().Str("key", key).
-			Msg("trust: plain text on an address that is not loopback; others on the network can read and forge what goes over it")
+			Msg("trust: plain text on an address that is not loopback; others on the network can read and forge its traffic")
 	}
 }
 
@@ -66,8 +65,8 @@
 	return t.mesh.Client()
 }
 
-// secure returns what proves other nodes on connections for calls.
-func (t *trustFiles) secure() proxy.Handshake {
+// handshake returns the TLS handshake that authenticates other nodes on connections for calls.
+func (t *trustFiles) handshake() proxy.Handshake {
 	if t.mesh == nil {
 		return nil
 	}
@@ -82,7 +81,7 @@
 	return t.operators.Server()
 }
 
-// keepers returns the certificates that there are, by name.
+// keepers returns the loaded certificates by name.
 func (t *trustFiles) keepers() map[string]*trust.Keeper {
 	out := make(map[string]*trust.Keeper)
 	if t.mesh != nil {
@@ -94,14 +93,14 @@
 	return out
 }
 
-// watch reloads certificates that change.
+// watch reloads certificates when their files change.
 func (t *trustFiles) watch(p *parts) {
 	for name, k := range t.keepers() {
 		p.run("certificate "+name, func(ctx context.Context) error { k.Watch(ctx); return nil })
 	}
 }
 
-// poll looks at once whether certificates changed.
+// poll checks at once for changed certificates.
 func (t *trustFiles) poll() {
 	for _, k := range t.keepers() {
 		k.Poll()
--- a/internal/node/trust_test.go
+++ b/internal/node/trust_test.go
@@ -10,7 +10,8 @@
 	"github.com/marlpass/marlpass/internal/settings"
 )
 
-// The line must tell which listener is meant: an operator mends it by its key.
+// Guards against a warning that does not name the listener's settings key, which the operator has
+// to change.
 func TestPlainTextIsLogged(t *testing.T) {
 	var log bytes.Buffer
 	s := settings.Node{Listen: settings.Listen{
--- a/internal/node/view_log.go
+++ b/internal/node/view_log.go
@@ -9,8 +9,8 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// maxViewLines bounds the lines about single nodes for one view. While a mesh starts, or a data
-// centre is lost or back, hundreds of nodes change at once, and each of them tells of all others.
+// maxViewLines bounds the log lines about single nodes per view. While a mesh starts, or a data
+// centre is lost or returns, hundreds of nodes change at once, and each node would log all others.
 const maxViewLines = 12
 
 // viewChange is a node that differs between two views.
@@ -19,7 +19,7 @@
 	now, was *membership.ObservedRecord // nil where it is not in that view
 }
 
-// viewChanges returns the nodes other than self that came, went or changed their state, by ID.
+// viewChanges returns the nodes other than self that were added, removed or changed, by ID.
 func viewChanges(self string, old, now *membership.View) []viewChange {
 	var out []viewChange
 	for id, r := range now.Records {
@@ -38,8 +38,8 @@
 	return out
 }
 
-// logView tells which other nodes came, went or changed their state: each by a line, or how many
-// where they are many.
+// logView logs which other nodes were added, removed or changed: one line per node, and the counts
+// when there are more than maxViewLines.
 func (n *Node) logView(old, now *membership.View) {
 	if old == nil {
 		old = &membership.View{}
@@ -50,8 +50,8 @@
 		c.write(log)
 	}
 	if more := len(changes) - maxViewLines; more > 0 {
-		came, gone, changed := countChanges(changes)
-		log.Info().Int("came", came).Int("gone", gone).Int("changed", changed).Int("left_out", more).
+		added, removed, changed := countChanges(changes)
+		log.Info().Int("came", added).Int("gone", removed).Int("changed", changed).Int("left_out", more).
 			Int("nodes", len(now.Records)).Msg("membership: many nodes are new, gone or changed")
 	}
 }
@@ -65,16 +65,16 @@
 		Uint64("incarnation", c.now.VM.Incarnation).Msg("membership: a node is new or changed")
 }
 
-func countChanges(changes []viewChange) (came, gone, changed int) {
+func countChanges(changes []viewChange) (added, removed, changed int) {
 	for _, c := range changes {
 		switch {
 		case c.was == nil:
-			came++
+			added++
 		case c.now == nil:
-			gone++
+			removed++
 		default:
 			changed++
 		}
 	}
-	return came, gone, changed
+	return added, removed, changed
 }
--- a/internal/node/view_log_test.go
+++ b/internal/node/view_log_test.go
@@ -11,8 +11,8 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// Guards the pattern of hundreds of nodes that start, or of a data centre that is lost: each node
-// must not write a line for each other one.
+// Guards against one log line per node on every node when hundreds of nodes start or a data centre
+// is lost.
 func TestViewLinesAreBounded(t *testing.T) {
 	const vms = 1200
 	var out bytes.Buffer
