--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -203,7 +203,7 @@
 // Guards against a handover that covers only the node that serves it: calls enter at two nodes and
 // a third one is queried. The statistics must be those of the whole mesh, with no item that needs
 // attention, and a draining backend server must be listed.
-func TestHandoverTellsOfTheWholeMesh(t *testing.T) {
+func TestHandoverCoversTheWholeMesh(t *testing.T) {
 	y := newOperatorMesh(t)
 	y.configure(t)
 	y.startBackend(t, 0, "a")
@@ -252,7 +252,7 @@
 }
 
 // Guards against a refused command that gets the wrong status or makes a version.
-func TestRefusedWithTheReason(t *testing.T) {
+func TestRefusedCommandsGetTheirReason(t *testing.T) {
 	y := newOperatorMesh(t)
 	y.configure(t)
 	c := y.admin(t, 2)
@@ -278,8 +278,8 @@
 
 // Guards against a wrong outcome when the platform commits a change, its answer is lost, and the
 // platform then goes down: after "refused" the operator would send the change again, after
-// "accepted" nobody would check. The outcome is unknown, and the command's ID resolves it later.
-func TestUnknownIsSettledLater(t *testing.T) {
+// "accepted" the operator would not check. The outcome is unknown, and the command's ID resolves it later.
+func TestUnknownOutcomeIsResolvedLater(t *testing.T) {
 	y := newOperatorMesh(t)
 	y.configure(t)
 	id := "lost-answer"
@@ -312,7 +312,7 @@
 
 // Guards against a command that is refused because one node is cut off from the platform: a peer
 // that reaches the platform has to commit it.
-func TestPeerCarriesACommand(t *testing.T) {
+func TestPeerCommitsAForwardedCommand(t *testing.T) {
 	y := newOperatorMesh(t)
 	y.configure(t)
 	y.proxies[0].down.Store(true)
--- a/internal/node/reader.go
+++ b/internal/node/reader.go
@@ -175,8 +175,8 @@
 	return admin.DiffOf(query.Diff(a, b)), nil
 }
 
-// snapshotAt returns the snapshot of a version: the cached one, or else one built from the platform's log
-// and snapshot objects.
+// snapshotAt returns the snapshot of a version: the cached one, or else one built from the
+// platform's log and snapshot objects.
 func (r *reader) snapshotAt(ctx context.Context, number uint64) (*config.Snapshot, error) {
 	if number == 0 {
 		return config.Empty(), nil
--- a/internal/node/report_test.go
+++ b/internal/node/report_test.go
@@ -77,7 +77,7 @@
 
 // Guards against a failure on a report with fewer counts than bounds, or none: it is read as far
 // as it is valid.
-func TestOddReportsAreRead(t *testing.T) {
+func TestIncompleteReportsAreRead(t *testing.T) {
 	odd := &peerpb.Report{Classes: []*peerpb.ClassCounts{
 		{Class: "a", Answered: 2, AtMostUs: []uint64{1, 2, 3}, Calls: []uint64{2}}, {},
 	}}
