--- a/internal/node/callpath.go
+++ b/internal/node/callpath.go
@@ -53,7 +53,7 @@
 		gates:           newGates(),
 		dedup:           once.New(once.Options{Table: n.control.table, Holder: n.self.ID}),
 		upstreams:       n.upstreams(),
-		nodes:           n.upstreams().WithHandshake(n.control.trust.secure()),
+		nodes:           n.upstreams().WithHandshake(n.control.trust.handshake()),
 		meters:          proxy.NewMeters(),
 		retries:         &retries{set: n.set.Retries},
 		decisions:       decisions.New(telemetry.Part(n.log, "calls"), n.o.LostLines),
@@ -64,7 +64,7 @@
 		list:          quarantine.New(time.Now(), quarantine.Options{Self: n.self.ID}),
 		log:           telemetry.Part(n.log, "quarantine"),
 		alerter:       n.control,
-		setNotices:    n.control.notices,
+		setNotices:    n.control.publishNotices,
 		endpointByKey: c.pickers.endpointByKey,
 	}
 	tracer := proxy.NewTracer(provider)
@@ -77,7 +77,7 @@
 		Spool: n.spool(), Link: link,
 	}))
 	c.entry = proxy.NewEntry(n.o.Policies.entryOptions(proxy.EntryOptions{
-		Self: n.self.ID, Programs: programs, Readiness: n.start, Admitter: nodeAdmitter{c}, Pickers: c.pickers,
+		Self: n.self.ID, Programs: programs, Readiness: n.startup, Admitter: nodeAdmitter{c}, Pickers: c.pickers,
 		Retrier: c.retries, Suspects: c.suspects, Workspaces: n.workspaces, Local: c.dest, Upstreams: c.nodes,
 		Meters: c.meters, Tracer: tracer, Dialect: n.o.Dialect,
 		NoAttemptTimeout: n.o.Source != nil, Decisions: c.decisions,
@@ -146,7 +146,7 @@
 func (c *callPath) shutdown() {
 	c.dest.Wait()
 	c.suspects.checksRunning.Wait()
-	ctx, cancel := context.WithTimeout(context.Background(), stopGrace)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownGrace)
 	defer cancel()
 	if err := c.dedup.Flush(ctx); err != nil {
 		c.n.log.Error().Err(err).Msg("once: outcomes could not be stored before the stop")
@@ -168,8 +168,8 @@
 	switch {
 	case a.c.draining.Load():
 		return errDraining
-	case !a.c.n.carries.Load():
-		return &call.Refusal{Reason: call.ReasonNotReady, RetryAfter: startAgain/2 + rand.N(startAgain)}
+	case !a.c.n.takesCalls.Load():
+		return &call.Refusal{Reason: call.ReasonNotReady, RetryAfter: startupRetryAfter/2 + rand.N(startupRetryAfter)}
 	}
 	return nil
 }
--- a/internal/node/inflight_test.go
+++ b/internal/node/inflight_test.go
@@ -18,7 +18,7 @@
 func TestRefusedCallWithoutBodyClosesItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls drain.Calls
-		ln := servePipes(t, newServer(calls.Handler(refuseAll), zerolog.Nop()))
+		ln := servePipeListener(t, newServer(calls.Handler(refuseAll), zerolog.Nop()))
 		conn := ln.dial()
 		defer conn.Close()
 		start := time.Now()
@@ -41,7 +41,7 @@
 func TestRefusedCallKeepsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls drain.Calls
-		conn := servePipes(t, newServer(calls.Handler(refuseAll), zerolog.Nop())).dial()
+		conn := servePipeListener(t, newServer(calls.Handler(refuseAll), zerolog.Nop())).dial()
 		defer conn.Close()
 		answers := bufio.NewReader(conn)
 		for range 3 {
--- a/internal/node/lift_test.go
+++ b/internal/node/lift_test.go
@@ -12,8 +12,8 @@
 // crashed two backend servers is quarantined in the whole mesh, and would be refused by the other
 // nodes for another half hour.
 func TestOperatorLiftsAQuarantine(t *testing.T) {
-	y := newYard(t)
-	y.state(t)
+	y := newOperatorMesh(t)
+	y.configure(t)
 	y.startBackend(t, 0, "a")
 	y.startBackend(t, 2, "b")
 	if err := y.WaitEndpoints(y.ctx, "berths", 2); err != nil {
@@ -61,8 +61,8 @@
 // the crashed backend servers updated the notices in their records only at the next crash, and
 // kept publishing the quarantine; a node that started later quarantined the request again.
 func TestLiftOutlivesTheNodeThatReceivedIt(t *testing.T) {
-	y := newYard(t)
-	y.state(t)
+	y := newOperatorMesh(t)
+	y.configure(t)
 	y.startBackend(t, 0, "a")
 	y.startBackend(t, 2, "b")
 	if err := y.WaitEndpoints(y.ctx, "berths", 2); err != nil {
@@ -92,7 +92,7 @@
 }
 
 // quarantined returns the first request in the quarantine list of a VM's node, or a zero value.
-func (y *yard) quarantined(t *testing.T, vm int) adminapi.QuarantinedRequest {
+func (y *operatorMesh) quarantined(t *testing.T, vm int) adminapi.QuarantinedRequest {
 	t.Helper()
 	l, err := y.admin(t, vm).ListQuarantine(y.ctx)
 	if err != nil || len(l.Requests) == 0 {
@@ -101,7 +101,7 @@
 	return l.Requests[0]
 }
 
-func (y *yard) crashes() int64 {
+func (y *operatorMesh) crashes() int64 {
 	var n int64
 	for _, vm := range y.VMs {
 		for _, b := range vm.Backends() {
--- a/internal/node/report_test.go
+++ b/internal/node/report_test.go
@@ -18,27 +18,27 @@
 	"github.com/marlpass/marlpass/internal/query"
 )
 
-// Size of the mesh that the cost of a handover is measured for.
+// Size of the mesh for which the cost of a handover is measured.
 const (
-	townNodes    = 1200
-	townServices = 61
-	townClasses  = 3 // of each service
-	townCalls    = 110_000 * 60 / townNodes
+	fleetNodes    = 1200
+	fleetServices = 61
+	fleetClasses  = 3 // per service
+	fleetCalls    = 110_000 * 60 / fleetNodes
 )
 
-// busy is a node whose meters counted a minute of the mesh's full load, over all
-// classes alike: the largest report there is.
-func busy(now time.Time) (*reports, []*config.Target) {
+// fullLoadReports returns the reports of a node whose meters hold a minute of the mesh's full
+// load, spread evenly over all classes: the largest report possible.
+func fullLoadReports(now time.Time) (*reports, []*config.Target) {
 	n := &Node{self: membership.VM{ID: "neg-shed-001"}}
 	n.calls = &callPath{meters: proxy.NewMeters(), pickers: newPickers(n.self, false)}
 	rng := rand.New(rand.NewPCG(1, 2))
 	var targets []*config.Target
-	for i := range townServices * townClasses {
+	for i := range fleetServices * fleetClasses {
 		targets = append(targets, &config.Target{
 			Name: fmt.Sprintf("class-of-work-%03d", i), Service: "berths", AnswerWithinMS: 200,
 		})
 	}
-	for i := range townCalls {
+	for i := range fleetCalls {
 		m := n.calls.meters.Class(targets[i%len(targets)])
 		m.Answered(now, time.Duration(float64(20*time.Millisecond)*rng.ExpFloat64()), false)
 		if i%100 == 0 {
@@ -48,10 +48,11 @@
 	return &reports{n: n}, targets
 }
 
+// Guards against counts that change when a report is packed, unpacked and summed.
 func TestReportCarriesTheCounts(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	r, targets := busy(now)
-	packed, err := packReport(r.own(now))
+	r, targets := fullLoadReports(now)
+	packed, err := packReport(r.ownReport(now))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,13 +70,14 @@
 			t.Errorf("%+v", c)
 		}
 	}
-	if calls != townCalls || shed != townCalls/100 {
+	if calls != fleetCalls || shed != fleetCalls/100 {
 		t.Errorf("%d calls, %d refused", calls, shed)
 	}
 }
 
-// A report with fewer counts than bounds, or none, is read as far as it goes.
-func TestOddReportsAreRead(t *testing.T) {
+// Guards against a failure on a report with fewer counts than bounds, or none: it is read as far
+// as it is valid.
+func TestIncompleteReportsAreRead(t *testing.T) {
 	odd := &peerpb.Report{Classes: []*peerpb.ClassCounts{
 		{Class: "a", Answered: 2, AtMostUs: []uint64{1, 2, 3}, Calls: []uint64{2}}, {},
 	}}
@@ -85,18 +87,18 @@
 	}
 }
 
-// A peer may send anything; what can't be read is an error and takes no more
-// memory than the bound.
+// Guards against a malformed report from a peer: it is an error and takes no more memory than the
+// bound.
 func FuzzUnpackReport(f *testing.F) {
 	now := time.Unix(1_700_000_000, 0)
-	r, _ := busy(now)
-	packed, err := packReport(r.own(now))
+	r, _ := fullLoadReports(now)
+	packed, err := packReport(r.ownReport(now))
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(packed.Data, true)
 	f.Add([]byte{0x0a, 0x03, 0x0a, 0x01, 'a'}, false)
-	f.Add(reportEncoder.EncodeAll(make([]byte, 4*maxReport), nil), true)
+	f.Add(reportEncoder.EncodeAll(make([]byte, 4*maxReportBytes), nil), true)
 	f.Fuzz(func(t *testing.T, data []byte, z bool) {
 		got, err := unpackReport(&peerpb.Packed{Data: data, Zstd: z})
 		if err == nil {
@@ -107,39 +109,38 @@
 	})
 }
 
-// BenchmarkReport measures what the largest report costs the node that makes
-// it, and its size.
+// BenchmarkReport measures the cost of the largest report for the node that makes it, and its
+// size.
 func BenchmarkReport(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
-	r, _ := busy(now)
+	r, _ := fullLoadReports(now)
 	b.ReportAllocs()
 	var wire, plain int
 	for b.Loop() {
-		own := r.own(now)
-		packed, err := packReport(own)
+		ownReport := r.ownReport(now)
+		packed, err := packReport(ownReport)
 		if err != nil {
 			b.Fatal(err)
 		}
-		wire, plain = proto.Size(packed), proto.Size(own)
+		wire, plain = proto.Size(packed), proto.Size(ownReport)
 	}
 	b.ReportMetric(float64(wire), "wire-B")
 	b.ReportMetric(float64(plain), "plain-B")
 }
 
-// BenchmarkHandover measures what unpacking and adding up the reports of 1,200 nodes costs the
-// node that answers.
+// BenchmarkHandover measures the cost of unpacking and summing the reports of 1,200 nodes.
 func BenchmarkHandover(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
-	r, targets := busy(now)
-	packed, err := packReport(r.own(now))
+	r, targets := fullLoadReports(now)
+	packed, err := packReport(r.ownReport(now))
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		all := query.NewReports()
-		for range townNodes {
-			if err := addTo(all, "vm", packed); err != nil {
+		for range fleetNodes {
+			if err := addReport(all, "vm", packed); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -147,17 +148,17 @@
 	}
 }
 
-// BenchmarkHeld measures the memory that the reports of 1,200 nodes take when
-// all are kept, and what their sums take.
+// BenchmarkHeld measures the memory that the reports of 1,200 nodes take when all are kept, and
+// that of their sums.
 func BenchmarkHeld(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
-	r, _ := busy(now)
-	own := r.own(now)
+	r, _ := fullLoadReports(now)
+	ownReport := r.ownReport(now)
 	b.Run("reports", func(b *testing.B) {
 		held(b, func() any {
 			var all []query.NodeReport
-			for range townNodes {
-				all = append(all, reportOf("vm", own))
+			for range fleetNodes {
+				all = append(all, reportOf("vm", ownReport))
 			}
 			return all
 		})
@@ -165,15 +166,15 @@
 	b.Run("sums", func(b *testing.B) {
 		held(b, func() any {
 			all := query.NewReports()
-			for range townNodes {
-				all.Add(reportOf("vm", own))
+			for range fleetNodes {
+				all.Add(reportOf("vm", ownReport))
 			}
 			return all
 		})
 	})
 }
 
-// held reports the heap that what f returns takes.
+// held reports the heap size of the value that f returns.
 func held(b *testing.B, f func() any) {
 	var before, after runtime.MemStats
 	for b.Loop() {
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -6,51 +6,50 @@
 	"time"
 )
 
-// Times of a call that comes while the node starts.
+// Limits for calls that arrive while the node starts.
 const (
-	// startWait is how long such a call waits for the node to be ready. A small VM takes
-	// about half a second from its start to its first version, and callers whose aim is a
+	// startupMaxWait bounds how long such a call waits for the node to be ready. A small VM takes
+	// about half a second from its start to its first version, so callers with a target of one
 	// second are still answered in time.
-	startWait = 500 * time.Millisecond
-	// startFor is how old a node may be for calls to wait for it. One that is not ready by
-	// then lacks the platform or its peers, and nobody knows for how long.
-	startFor = 2 * time.Second
-	// startAgain is about when a caller who was refused is told to come back. Half of it to
-	// one and a half, so that those refused together don't come back together.
-	startAgain = 500 * time.Millisecond
+	startupMaxWait = 500 * time.Millisecond
+	// startupWindow is the time after the start of the node in which calls wait. A node that is
+	// not ready by then lacks the platform or its peers, for an unknown time.
+	startupWindow = 2 * time.Second
+	// startupRetryAfter is the mean Retry-After of a refused call. Callers get half of it to one
+	// and a half times it, so that those refused together do not retry together.
+	startupRetryAfter = 500 * time.Millisecond
 )
 
-// start is the time between a node's first listener and its first version.
+// startup lets calls wait until the node holds its first version.
 //
-// Calls wait for its end. A node that has just started is reached by its callers at once,
-// since they never took it off their lists: 68 VMs that were killed together were back
-// within 60 ms, and in the second until they were ready 768 callers of one second
-// were refused, each with one more try left to it.
-type start struct {
+// Callers reach a restarted node at once, since they never removed it from their lists. After 68
+// VMs were killed together and were back within 60 ms, 768 callers with a target of one second
+// were refused in the second until the nodes were ready, each with one attempt left.
+type startup struct {
 	began time.Time
-	over  chan struct{}
+	done  chan struct{}
 	once  sync.Once
 }
 
-func newStart(now time.Time) *start { return &start{began: now, over: make(chan struct{})} }
+func newStartup(now time.Time) *startup { return &startup{began: now, done: make(chan struct{})} }
 
-// end lets the calls that wait go on.
-func (s *start) end() { s.once.Do(func() { close(s.over) }) }
+// end releases the waiting calls.
+func (s *startup) end() { s.once.Do(func() { close(s.done) }) }
 
 // Await implements proxy.Readiness.
-func (s *start) Await(ctx context.Context) {
+func (s *startup) Await(ctx context.Context) {
 	select {
-	case <-s.over:
+	case <-s.done:
 		return
 	default:
 	}
-	if time.Since(s.began) > startFor {
+	if time.Since(s.began) > startupWindow {
 		return
 	}
-	timer := time.NewTimer(startWait)
+	timer := time.NewTimer(startupMaxWait)
 	defer timer.Stop()
 	select {
-	case <-s.over:
+	case <-s.done:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -11,17 +11,16 @@
 )
 
 const (
-	leaveNotice = 2 * time.Second // for the word of leaving to get around
-	stopGrace   = 5 * time.Second // for everything but calls in flight
+	defaultDrainNotice = 2 * time.Second // for the announcement to spread
+	shutdownGrace      = 5 * time.Second // for everything except calls in flight
 )
 
-// ErrDrainLimit means that a planned stop cut off calls, because they were
-// still in flight at the limit.
+// ErrDrainLimit means that a planned stop cut off calls that were still in flight at the drain
+// limit.
 var ErrDrainLimit = errors.New("node: calls were still in flight at the drain limit")
 
-// Shutdown stops the node gracefully: it tells the mesh, refuses new calls, and
-// waits for those in flight until the drain limit. It returns ErrDrainLimit if
-// that was hit.
+// Shutdown stops the node gracefully: it announces that the node leaves, refuses new calls, and
+// waits for those in flight until the drain limit. It returns ErrDrainLimit if calls were cut off.
 func (n *Node) Shutdown(ctx context.Context) error {
 	var err error
 	if defect.On(defect.StopAtOnce) {
@@ -38,10 +37,10 @@
 	n.leaving.Store(true)
 	n.log.Info().Msg("node: leaving the mesh")
 	n.servers.leave()
-	n.giveNotice(ctx)
+	n.announceLeaving(ctx)
 	n.calls.drain()
-	limit := n.set.Drain.LimitWithin(n.set.Drain.NoticeOr(leaveNotice))
-	ctx, cancel := context.WithTimeout(ctx, limit+stopGrace)
+	limit := n.set.Drain.LimitWithin(n.set.Drain.NoticeOr(defaultDrainNotice))
+	ctx, cancel := context.WithTimeout(ctx, limit+shutdownGrace)
 	defer cancel()
 	cut := n.servers.drain(ctx, limit)
 	n.calls.shutdown()
@@ -56,12 +55,12 @@
 	return nil
 }
 
-// giveNotice goes on taking calls until whoever sends them has learned that the
-// node leaves. Callers learn it by its readiness, which they ask for now and then,
-// and the other nodes at once by the membership. So those may be told later: till
-// then the backend server here runs calls of the whole mesh.
-func (n *Node) giveNotice(ctx context.Context) {
-	notice, word := n.set.Drain.NoticeOr(leaveNotice), n.set.Drain.Word.Duration
+// announceLeaving keeps taking calls until callers and other nodes know that the node leaves.
+// Callers learn it by polling its readiness, other nodes at once by the membership. The membership
+// may thus be informed later (drain.word): until then the backend server here serves the whole
+// mesh.
+func (n *Node) announceLeaving(ctx context.Context) {
+	notice, word := n.set.Drain.NoticeOr(defaultDrainNotice), n.set.Drain.Word.Duration
 	if word > 0 {
 		_ = wait.For(ctx, notice-word)
 		notice = word
--- a/internal/node/view_log_test.go
+++ b/internal/node/view_log_test.go
@@ -11,15 +11,15 @@
 	"github.com/marlpass/marlpass/internal/membership"
 )
 
-// Guards the pattern of hundreds of nodes that start, or of a data centre that is lost: each node
-// must not write a line for each other one.
+// Guards against one log line per node on every node when hundreds of nodes start or a data centre
+// is lost.
 func TestViewLinesAreBounded(t *testing.T) {
 	const vms = 1200
 	var out bytes.Buffer
 	n := &Node{log: zerolog.New(&out), self: membership.VM{ID: "vm-0"}}
 	all := newTestView(vms)
 	n.logView(nil, all)
-	if lines := strings.Count(out.String(), "\n"); lines != viewLines+1 {
+	if lines := strings.Count(out.String(), "\n"); lines != maxViewLines+1 {
 		t.Errorf("%d lines about %d nodes", lines, vms)
 	}
 	if !strings.Contains(out.String(), `"came":1199,"gone":0,"changed":0,"left_out":1187,"nodes":1200`) {
