--- a/internal/once/batcher.go
+++ b/internal/once/batcher.go
@@ -36,14 +36,14 @@
 	table  platform.Table
 	linger time.Duration
 	writes atomic.Uint64 // transactions sent
-	// single sends each item in a transaction of its own, at once. It is the
+	// unbatched sends each item in a transaction of its own, at once. It is the
 	// baseline that group commit is measured against.
-	single bool
+	unbatched bool
 
-	mu      sync.Mutex
-	pending []*item
-	busy    bool
-	timer   *time.Timer
+	mu         sync.Mutex
+	pending    []*item
+	committing bool
+	timer      *time.Timer
 }
 
 func newBatcher(t platform.Table, linger time.Duration) *batcher {
@@ -62,7 +62,7 @@
 	it.result = make(chan error, 1)
 	b.mu.Lock()
 	b.pending = append(b.pending, it)
-	b.kick()
+	b.sendIfReady()
 	b.mu.Unlock()
 	select {
 	case err := <-it.result:
@@ -92,25 +92,25 @@
 	return false
 }
 
-// kick sends what is pending, now or after the linger time. b.mu is held.
-func (b *batcher) kick() {
-	if len(b.pending) == 0 || (b.busy && !b.single) {
+// sendIfReady sends what is pending, now or after the linger time. b.mu is held.
+func (b *batcher) sendIfReady() {
+	if len(b.pending) == 0 || (b.committing && !b.unbatched) {
 		return
 	}
-	if b.anyUrgent() || len(b.pending) >= maxBatchRows || b.linger <= 0 || b.single {
+	if b.anyUrgent() || len(b.pending) >= maxBatchRows || b.linger <= 0 || b.unbatched {
 		b.send()
 		return
 	}
 	if b.timer == nil {
-		b.timer = time.AfterFunc(b.linger, b.lingered)
+		b.timer = time.AfterFunc(b.linger, b.lingerExpired)
 	}
 }
 
-func (b *batcher) lingered() {
+func (b *batcher) lingerExpired() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.timer = nil
-	if !b.busy && len(b.pending) > 0 {
+	if !b.committing && len(b.pending) > 0 {
 		b.send()
 	}
 }
@@ -130,20 +130,20 @@
 		b.timer.Stop()
 		b.timer = nil
 	}
-	batch := b.take()
-	b.busy = true
+	batch := b.nextBatch()
+	b.committing = true
 	go func() {
 		b.commit(batch)
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.busy = false
-		b.kick()
+		b.committing = false
+		b.sendIfReady()
 	}()
 }
 
-// take removes the next batch from pending: each row at most once, because two
+// nextBatch removes the next batch from pending: each row at most once, because two
 // writes to a row in one transaction have no order.
-func (b *batcher) take() []*item {
+func (b *batcher) nextBatch() []*item {
 	var batch, rest []*item
 	size := 0
 	rows := make(map[string]bool)
@@ -168,15 +168,15 @@
 		err := b.transact(batch)
 		var conflict *platform.ConflictError
 		if !errors.As(err, &conflict) {
-			answer(batch, err)
+			deliver(batch, err)
 			return
 		}
-		failed, rest := split(batch, conflict.Keys)
+		failed, rest := splitConflicting(batch, conflict.Keys)
 		if len(failed) == 0 {
-			answer(batch, fmt.Errorf("%w: conflict on rows not asked for", platform.ErrUnavailable))
+			deliver(batch, fmt.Errorf("%w: conflict on rows not asked for", platform.ErrUnavailable))
 			return
 		}
-		answer(failed, conflict)
+		deliver(failed, conflict)
 		batch = rest
 	}
 }
@@ -195,19 +195,19 @@
 	return b.table.Commit(ctx, t)
 }
 
-func answer(items []*item, err error) {
+func deliver(items []*item, err error) {
 	for _, it := range items {
 		it.result <- err
 	}
 }
 
-func split(batch []*item, keys []string) (failed, rest []*item) {
-	bad := make(map[string]bool, len(keys))
+func splitConflicting(batch []*item, keys []string) (failed, rest []*item) {
+	conflicting := make(map[string]bool, len(keys))
 	for _, k := range keys {
-		bad[k] = true
+		conflicting[k] = true
 	}
 	for _, it := range batch {
-		if bad[it.write.Key] {
+		if conflicting[it.write.Key] {
 			failed = append(failed, it)
 			continue
 		}
--- a/internal/once/claim.go
+++ b/internal/once/claim.go
@@ -15,39 +15,39 @@
 
 // Bounds on the pauses between attempts at the platform.
 const (
-	minPause = 20 * time.Millisecond
-	maxPause = time.Second
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = time.Second
 )
 
 // attempt is one request's way to a claim.
 type attempt struct {
-	k *Deduplicator
+	d *Deduplicator
 	f *flight
 	r Request
 	// nonce is in every row that this attempt writes.
 	nonce string
-	// started is when the first write that may stand was sent. The lease
+	// leaseStart is when the first write that may stand was sent. The lease
 	// counts from it.
-	started time.Time
+	leaseStart time.Time
 	// ambiguous says that a row with the nonce may stand.
 	ambiguous bool
-	pause     time.Duration
+	backoff   time.Duration
 }
 
 // claim looks for the outcome of an earlier run, or claims the request.
-func (k *Deduplicator) claim(ctx context.Context, f *flight, r Request) (Decision, error) {
-	a := &attempt{k: k, f: f, r: r, nonce: k.o.Nonce(), pause: minPause}
-	bounded, cancel := a.bound(ctx)
+func (d *Deduplicator) claim(ctx context.Context, f *flight, r Request) (Decision, error) {
+	a := &attempt{d: d, f: f, r: r, nonce: d.opts.Nonce(), backoff: minBackoff}
+	claimCtx, cancel := a.withClaimTimeout(ctx)
 	defer cancel()
 	for {
-		err := a.write(bounded)
+		err := a.write(claimCtx)
 		var conflict *platform.ConflictError
 		switch {
 		case err == nil:
-			return a.run(false), nil
+			return a.grant(false), nil
 		case errors.As(err, &conflict):
-			b, v, err := a.follow(ctx, bounded)
-			if v == verdictEnd {
+			b, v, err := a.awaitOutcome(ctx, claimCtx)
+			if v == rowDecided {
 				return b, err
 			}
 		case !notWritten(err):
@@ -56,24 +56,24 @@
 			// there is no row, and the nonce tells whose it was.
 			a.ambiguous = true
 		}
-		if bounded.Err() != nil || (err != nil && a.givesUp(err)) {
-			return a.storeDown(ctx)
+		if claimCtx.Err() != nil || (err != nil && a.failsFast(err)) {
+			return a.applyStoreDownRule(ctx)
 		}
-		a.sleep(bounded)
+		a.sleep(claimCtx)
 	}
 }
 
-// bound limits the attempts for classes that would rather be refused than wait.
-func (a *attempt) bound(ctx context.Context) (context.Context, context.CancelFunc) {
+// withClaimTimeout limits the attempts for classes that would rather be refused than wait.
+func (a *attempt) withClaimTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if a.r.StoreDown == config.OnStoreDownWait {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, a.k.o.ClaimTimeout)
+	return context.WithTimeout(ctx, a.d.opts.ClaimTimeout)
 }
 
-// givesUp reports whether err ends the attempts: nothing can stand, and the
+// failsFast reports whether err ends the attempts: nothing can stand, and the
 // class does not wait.
-func (a *attempt) givesUp(err error) bool {
+func (a *attempt) failsFast(err error) bool {
 	return notWritten(err) && !a.ambiguous && a.r.StoreDown != config.OnStoreDownWait
 }
 
@@ -85,13 +85,13 @@
 
 func (a *attempt) write(ctx context.Context) error {
 	if !a.ambiguous {
-		a.started = a.k.o.Now()
+		a.leaseStart = a.d.opts.Now()
 	}
 	value, err := a.row().encode()
 	if err != nil {
 		return err
 	}
-	return a.k.batcher.do(ctx, &item{
+	return a.d.batcher.do(ctx, &item{
 		condition: &platform.Condition{Key: a.f.key, Revision: platform.Absent},
 		write:     platform.Write{Key: a.f.key, Value: value},
 		urgent:    true,
@@ -101,95 +101,95 @@
 func (a *attempt) row() row {
 	return row{
 		Nonce:       a.nonce,
-		Holder:      a.k.o.Holder,
+		Holder:      a.d.opts.Holder,
 		Fingerprint: a.r.Fingerprint,
-		ClaimedAt:   a.started.UnixMilli(),
+		ClaimedAt:   a.leaseStart.UnixMilli(),
 	}
 }
 
-func (a *attempt) run(guard bool) Decision {
-	return Decision{Run: &Claim{k: a.k, f: a.f, r: a.r, row: a.row(), started: a.started, guard: guard}}
+func (a *attempt) grant(localGuard bool) Decision {
+	return Decision{Run: &Claim{d: a.d, f: a.f, r: a.r, row: a.row(), leaseStart: a.leaseStart, localGuard: localGuard}}
 }
 
-// verdict is what a row that stands in the way of a claim means.
-type verdict uint8
+// rowStatus is what a row that stands in the way of a claim means.
+type rowStatus uint8
 
 const (
-	verdictWait  verdict = iota + 1 // another claimant runs it, or may
-	verdictAgain                    // the row is gone, so the claim may be tried again
-	verdictEnd                      // Decision or the error is the answer
+	rowPending rowStatus = iota + 1 // another claimant runs it, or may
+	rowGone                         // the row is gone, so the claim may be tried again
+	rowDecided                      // Decision or the error is the answer
 )
 
-// follow waits for the outcome of the row that stands in the way. Waiting for
+// awaitOutcome waits for the outcome of the row that stands in the way. Waiting for
 // another's outcome is bounded by the caller's deadline alone.
-func (a *attempt) follow(ctx, bounded context.Context) (Decision, verdict, error) {
-	first := a.k.o.Now()
-	seen := false
+func (a *attempt) awaitOutcome(ctx, claimCtx context.Context) (Decision, rowStatus, error) {
+	waitStart := a.d.opts.Now()
+	rowRead := false
 	for {
-		got, err := a.k.o.Table.Get(ctx, a.f.key)
+		got, err := a.d.opts.Table.Get(ctx, a.f.key)
 		if errors.Is(err, platform.ErrNotFound) {
-			return Decision{}, verdictAgain, nil
+			return Decision{}, rowGone, nil
 		}
 		if err == nil {
-			seen = true
-			b, v, err := a.judge(ctx, got, first)
-			if v != verdictWait {
+			rowRead = true
+			b, v, err := a.checkRow(ctx, got, waitStart)
+			if v != rowPending {
 				return b, v, err
 			}
 		}
 		// That the claim met a row is known, so without a sight of it the
 		// request may have run.
-		blind := !seen && bounded.Err() != nil
-		if ctx.Err() != nil || blind {
-			return Decision{Unknown: true}, verdictEnd, nil
+		neverRead := !rowRead && claimCtx.Err() != nil
+		if ctx.Err() != nil || neverRead {
+			return Decision{Unknown: true}, rowDecided, nil
 		}
 		a.sleep(ctx)
 	}
 }
 
-func (a *attempt) judge(ctx context.Context, got platform.Row, first time.Time) (Decision, verdict, error) {
-	stands, err := decodeRow(got.Value)
+func (a *attempt) checkRow(ctx context.Context, got platform.Row, waitStart time.Time) (Decision, rowStatus, error) {
+	existing, err := decodeRow(got.Value)
 	if err != nil {
-		return Decision{Unknown: true}, verdictEnd, nil
+		return Decision{Unknown: true}, rowDecided, nil
 	}
-	if stands.Fingerprint != a.r.Fingerprint {
-		return Decision{}, verdictEnd, refusal(call.ReasonKeyReused, "")
+	if existing.Fingerprint != a.r.Fingerprint {
+		return Decision{}, rowDecided, refusal(call.ReasonKeyReused, "")
 	}
-	if stands.Outcome != nil {
-		return Decision{Replay: stands.Outcome}, verdictEnd, nil
+	if existing.Outcome != nil {
+		return Decision{Replay: existing.Outcome}, rowDecided, nil
 	}
-	if stands.Nonce == a.nonce {
-		return a.run(false), verdictEnd, nil
+	if existing.Nonce == a.nonce {
+		return a.grant(false), rowDecided, nil
 	}
-	if a.k.wasReleased(a.f.key, stands.Nonce) {
-		a.k.removeReleased(ctx, got)
-		return Decision{}, verdictAgain, nil
+	if a.d.wasAbandoned(a.f.key, existing.Nonce) {
+		a.d.removeRow(ctx, got)
+		return Decision{}, rowGone, nil
 	}
-	now := a.k.o.Now()
-	lapsed := stands.Lost || now.Sub(stands.claimedAt()) > a.k.o.Lease || now.Sub(first) > a.k.o.Lease
-	if lapsed {
+	now := a.d.opts.Now()
+	leaseExpired := existing.Lost || now.Sub(existing.claimedAt()) > a.d.opts.Lease || now.Sub(waitStart) > a.d.opts.Lease
+	if leaseExpired {
 		// The claimant died, or is paused, or could not store the outcome.
 		// It may have run the request, so no one else ever does.
-		return Decision{Unknown: true}, verdictEnd, nil
+		return Decision{Unknown: true}, rowDecided, nil
 	}
-	return Decision{}, verdictWait, nil
+	return Decision{}, rowPending, nil
 }
 
-// storeDown applies the class's rule when the claim could not be recorded.
-func (a *attempt) storeDown(ctx context.Context) (Decision, error) {
-	if b, found, err := a.lastLook(ctx); found {
+// applyStoreDownRule applies the class's rule when the claim could not be recorded.
+func (a *attempt) applyStoreDownRule(ctx context.Context) (Decision, error) {
+	if b, found, err := a.finalRead(ctx); found {
 		return b, err
 	}
-	if b, found, err := a.k.recent.find(a.f.key, a.r.Fingerprint); found {
+	if b, found, err := a.d.recent.find(a.f.key, a.r.Fingerprint); found {
 		return b, err
 	}
-	if a.r.StoreDown == config.OnStoreDownLocalGuard && ctx.Err() == nil && a.k.guard(a.f) {
+	if a.r.StoreDown == config.OnStoreDownLocalGuard && ctx.Err() == nil && a.d.startLocalGuard(a.f) {
 		// If a row of this attempt stands after all, it keeps other nodes
 		// from running the request, which is what it is for.
-		return a.run(true), nil
+		return a.grant(true), nil
 	}
 	if a.ambiguous {
-		a.k.release(a.f.key, a.nonce)
+		a.d.abandon(a.f.key, a.nonce)
 	}
 	if err := ctx.Err(); err != nil && !errors.Is(context.Cause(ctx), errDeadline) {
 		return Decision{}, err
@@ -202,26 +202,26 @@
 const detailStoreDown = "the claim could not be recorded; " +
 	"an earlier sending with the same key may have run, so send again with the same key"
 
-// lastLookTimeout bounds lastLook.
-const lastLookTimeout = 250 * time.Millisecond
+// finalReadTimeout bounds lastLook.
+const finalReadTimeout = 250 * time.Millisecond
 
-// lastLook reads the row once more before the class's rule is applied. A table
+// finalRead reads the row once more before the class's rule is applied. A table
 // that takes no writes may still be read, and then a repeat gets the first
 // outcome in place of a refusal or, under a guard, of a second run.
-func (a *attempt) lastLook(ctx context.Context) (Decision, bool, error) {
-	short, cancel := context.WithTimeout(ctx, lastLookTimeout)
+func (a *attempt) finalRead(ctx context.Context) (Decision, bool, error) {
+	readCtx, cancel := context.WithTimeout(ctx, finalReadTimeout)
 	defer cancel()
-	got, err := a.k.o.Table.Get(short, a.f.key)
+	got, err := a.d.opts.Table.Get(readCtx, a.f.key)
 	if err != nil {
 		return Decision{}, false, nil
 	}
-	b, v, err := a.judge(short, got, a.k.o.Now())
+	b, v, err := a.checkRow(readCtx, got, a.d.opts.Now())
 	switch v {
-	case verdictEnd:
+	case rowDecided:
 		return b, true, err
-	case verdictWait:
-		b, v, err = a.follow(ctx, ctx)
-		return b, v == verdictEnd, err
+	case rowPending:
+		b, v, err = a.awaitOutcome(ctx, ctx)
+		return b, v == rowDecided, err
 	}
 	return Decision{}, false, nil
 }
@@ -229,8 +229,8 @@
 // sleep pauses for an even spread over half to one and a half of a pause that
 // doubles, so that those who wait for one row don't read it in step.
 func (a *attempt) sleep(ctx context.Context) {
-	d := time.Duration(float64(a.pause) * (0.5 + rand.Float64()))
-	a.pause = min(2*a.pause, maxPause)
+	d := time.Duration(float64(a.backoff) * (0.5 + rand.Float64()))
+	a.backoff = min(2*a.backoff, maxBackoff)
 	_ = wait.For(ctx, d)
 }
 
@@ -247,12 +247,12 @@
 
 // Claim is the right to run one request, once.
 type Claim struct {
-	k       *Deduplicator
-	f       *flight
-	r       Request
-	row     row
-	started time.Time
-	guard   bool
+	d          *Deduplicator
+	f          *flight
+	r          Request
+	row        row
+	leaseStart time.Time
+	localGuard bool
 
 	mu    sync.Mutex
 	state claimState
@@ -270,7 +270,7 @@
 	if c.state == claimEnded {
 		return refusal(call.ReasonExpired, "the claim has ended")
 	}
-	if c.k.o.Now().Sub(c.started) >= c.k.o.Lease {
+	if c.d.opts.Now().Sub(c.leaseStart) >= c.d.opts.Lease {
 		return refusal(call.ReasonExpired, "the lease of the claim lapsed before the run")
 	}
 	c.state = claimStarted
--- a/internal/once/deduplicator.go
+++ b/internal/once/deduplicator.go
@@ -114,18 +114,18 @@
 
 // Deduplicator claims requests for one node. It is safe for concurrent use.
 type Deduplicator struct {
-	o       Options
+	opts    Options
 	batcher *batcher
 	recent  recent
 
 	mu      sync.Mutex
 	flights map[string]*flight // by row key
-	// released are the claims that were given up without a run, whose rows
+	// abandoned are the claims that were given up without a run, whose rows
 	// may still stand because the platform did not confirm the removal.
-	released  map[released]givenUp
-	held      int // flights that are kept
-	heldBytes int // bodies of those among them that had a row
-	stats     Stats
+	abandoned  map[abandoned]abandonTimes
+	localKeys  int // flights that are kept
+	localBytes int // bodies of those among them that had a row
+	stats      Stats
 }
 
 // Stats counts what a Deduplicator did.
@@ -142,63 +142,63 @@
 }
 
 // New returns a Deduplicator.
-func New(o Options) *Deduplicator {
-	o = o.withDefaults()
-	k := &Deduplicator{
-		o:        o,
-		flights:  make(map[string]*flight),
-		released: make(map[released]givenUp),
+func New(opts Options) *Deduplicator {
+	opts = opts.withDefaults()
+	d := &Deduplicator{
+		opts:      opts,
+		flights:   make(map[string]*flight),
+		abandoned: make(map[abandoned]abandonTimes),
 	}
-	k.recent = newRecent(o.MaxLocalKeys)
-	k.batcher = newBatcher(o.Table, o.Linger)
-	return k
+	d.recent = newRecent(opts.MaxLocalKeys)
+	d.batcher = newBatcher(opts.Table, opts.Linger)
+	return d
 }
 
 // Stats returns the counts so far.
-func (k *Deduplicator) Stats() Stats {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s := k.stats
-	s.Writes = k.batcher.writes.Load()
-	s.LocalKeys = k.held
+func (d *Deduplicator) Stats() Stats {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	s := d.stats
+	s.Writes = d.batcher.writes.Load()
+	s.LocalKeys = d.localKeys
 	return s
 }
 
 // Begin decides what to do with a request. The error is a *call.Refusal, which
 // means that this request was not run, or the context's error, which means the
 // same.
-func (k *Deduplicator) Begin(ctx context.Context, r Request) (Decision, error) {
+func (d *Deduplicator) Begin(ctx context.Context, r Request) (Decision, error) {
 	if !r.Deadline.IsZero() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadlineCause(ctx, r.Deadline, errDeadline)
 		defer cancel()
 	}
 	key := rowKey(r.Service, r.Key)
-	f, first := k.enter(key, r)
+	f, first := d.flightFor(key, r)
 	if !first {
-		return k.join(ctx, f, r)
+		return d.join(ctx, f, r)
 	}
-	b, err := k.claim(ctx, f, r)
+	b, err := d.claim(ctx, f, r)
 	if err != nil || b.Run == nil {
 		// Whatever was found lies in the platform's table; those who
 		// joined look there for themselves.
-		k.leave(f)
+		d.forget(f)
 	}
-	return k.count(b, err)
+	return d.count(b, err)
 }
 
-func (k *Deduplicator) count(b Decision, err error) (Decision, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (d *Deduplicator) count(b Decision, err error) (Decision, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	switch {
 	case err != nil:
-		k.stats.Refused++
+		d.stats.Refused++
 	case b.Run != nil:
-		k.stats.Claims++
+		d.stats.Claims++
 	case b.Replay != nil:
-		k.stats.Replays++
+		d.stats.Replays++
 	default:
-		k.stats.Unknowns++
+		d.stats.Unknowns++
 	}
 	return b, err
 }
--- a/internal/once/deduplicator_test.go
+++ b/internal/once/deduplicator_test.go
@@ -31,26 +31,26 @@
 	return r.Reason
 }
 
-func mustRun(t *testing.T, k *Deduplicator, r Request) *Claim {
+func mustRun(t *testing.T, d *Deduplicator, r Request) *Claim {
 	t.Helper()
-	b, err := k.Begin(background, r)
+	b, err := d.Begin(background, r)
 	if err != nil || b.Run == nil {
 		t.Fatalf("Begin = %+v, %v; want a run", b, err)
 	}
 	return b.Run
 }
 
-func mustReplay(t *testing.T, k *Deduplicator, r Request, body string) {
+func mustReplay(t *testing.T, d *Deduplicator, r Request, body string) {
 	t.Helper()
-	b, err := k.Begin(background, r)
+	b, err := d.Begin(background, r)
 	if err != nil || b.Replay == nil || string(b.Replay.Body) != body {
 		t.Fatalf("Begin = %+v, %v; want the outcome %q", b, err, body)
 	}
 }
 
-func mustUnknown(t *testing.T, k *Deduplicator, r Request) {
+func mustUnknown(t *testing.T, d *Deduplicator, r Request) {
 	t.Helper()
-	b, err := k.Begin(background, r)
+	b, err := d.Begin(background, r)
 	if err != nil || !b.Unknown {
 		t.Fatalf("Begin = %+v, %v; want unknown", b, err)
 	}
@@ -81,8 +81,8 @@
 // The same resend reaches the same node. It must join without the platform.
 func TestResendAtSameNodeJoins(t *testing.T) {
 	bubble(t, func(t *testing.T, table *faulty) {
-		k := node(table, "vm1")
-		c := mustRun(t, k, request(""))
+		d := node(table, "vm1")
+		c := mustRun(t, d, request(""))
 		table.set(faultOutage)
 		go func() {
 			time.Sleep(time.Second)
@@ -90,7 +90,7 @@
 			defer cancel()
 			_ = c.Finish(ctx, StoredOutcome{Status: 201, Body: []byte("berth 7")})
 		}()
-		mustReplay(t, k, request(""), "berth 7")
+		mustReplay(t, d, request(""), "berth 7")
 	})
 }
 
@@ -98,11 +98,11 @@
 // node that runs the first and at any other.
 func TestOtherBodyUnderSameKeyIsRefused(t *testing.T) {
 	bubble(t, func(t *testing.T, table *faulty) {
-		k := node(table, "vm1")
-		mustRun(t, k, request(""))
+		d := node(table, "vm1")
+		mustRun(t, d, request(""))
 		other := request("")
 		other.Fingerprint = [32]byte{2}
-		for _, n := range []*Deduplicator{k, node(table, "vm2")} {
+		for _, n := range []*Deduplicator{d, node(table, "vm2")} {
 			_, err := n.Begin(background, other)
 			if got := reasonOf(t, err); got != call.ReasonKeyReused {
 				t.Errorf("refused as %q", got)
@@ -149,12 +149,12 @@
 	for _, kind := range []faultKind{faultNone, faultOutage} {
 		bubble(t, func(t *testing.T, table *faulty) {
 			table.set(kind)
-			k := node(table, "vm1")
-			if err := mustRun(t, k, request(config.OnStoreDownLocalGuard)).Lost(background); err != nil {
+			d := node(table, "vm1")
+			if err := mustRun(t, d, request(config.OnStoreDownLocalGuard)).Lost(background); err != nil {
 				t.Fatal(err)
 			}
 			start := time.Now()
-			mustUnknown(t, k, request(config.OnStoreDownLocalGuard))
+			mustUnknown(t, d, request(config.OnStoreDownLocalGuard))
 			if kind == faultNone {
 				mustUnknown(t, node(table, "vm2"), request(""))
 			}
@@ -184,15 +184,15 @@
 // and the resend reaches the same node.
 func TestAbandonedClaimMayRunAgain(t *testing.T) {
 	bubble(t, func(t *testing.T, table *faulty) {
-		k := node(table, "vm1")
-		if err := mustRun(t, k, request("")).Abandon(background); err != nil {
+		d := node(table, "vm1")
+		if err := mustRun(t, d, request("")).Abandon(background); err != nil {
 			t.Fatal(err)
 		}
 		c := mustRun(t, node(table, "vm2"), request(""))
 		if err := c.Abandon(background); err != nil {
 			t.Fatal(err)
 		}
-		c = mustRun(t, k, request(""))
+		c = mustRun(t, d, request(""))
 		table.set(faultOutage)
 		if err := c.Abandon(background); err == nil {
 			t.Fatal("Abandon succeeded in an outage")
@@ -200,7 +200,7 @@
 		table.set(faultNone)
 		mustUnknownSoon := request("")
 		mustUnknown(t, node(table, "vm2"), mustUnknownSoon)
-		mustRun(t, k, request(""))
+		mustRun(t, d, request(""))
 	})
 }
 
@@ -233,21 +233,21 @@
 func TestLocalGuard(t *testing.T) {
 	bubble(t, func(t *testing.T, table *faulty) {
 		table.set(faultOutage)
-		k := node(table, "vm1")
-		c := mustRun(t, k, request(config.OnStoreDownLocalGuard))
+		d := node(table, "vm1")
+		c := mustRun(t, d, request(config.OnStoreDownLocalGuard))
 		ctx, cancel := context.WithTimeout(background, time.Second)
 		defer cancel()
 		if err := c.Finish(ctx, StoredOutcome{Status: 201, Body: []byte("berth 7")}); err == nil {
 			t.Fatal("Finish succeeded in an outage")
 		}
-		mustReplay(t, k, request(config.OnStoreDownLocalGuard), "berth 7")
+		mustReplay(t, d, request(config.OnStoreDownLocalGuard), "berth 7")
 		table.set(faultNone)
-		mustReplay(t, k, request(config.OnStoreDownLocalGuard), "berth 7")
-		if err := k.Flush(background); err != nil {
+		mustReplay(t, d, request(config.OnStoreDownLocalGuard), "berth 7")
+		if err := d.Flush(background); err != nil {
 			t.Fatal(err)
 		}
 		mustReplay(t, node(table, "vm2"), request(""), "berth 7")
-		if got := k.Stats().LocalKeys; got != 0 {
+		if got := d.Stats().LocalKeys; got != 0 {
 			t.Errorf("%d guards held after Flush", got)
 		}
 	})
@@ -258,13 +258,13 @@
 // row. It must give the outcome from memory, not run the booking again.
 func TestGuardRemembersRecordedRuns(t *testing.T) {
 	bubble(t, func(t *testing.T, table *faulty) {
-		k := node(table, "vm1")
-		c := mustRun(t, k, request(config.OnStoreDownLocalGuard))
+		d := node(table, "vm1")
+		c := mustRun(t, d, request(config.OnStoreDownLocalGuard))
 		if err := c.Finish(background, StoredOutcome{Status: 201, Body: []byte("berth 7")}); err != nil {
 			t.Fatal(err)
 		}
 		table.set(faultOutage)
-		mustReplay(t, k, request(config.OnStoreDownLocalGuard), "berth 7")
+		mustReplay(t, d, request(config.OnStoreDownLocalGuard), "berth 7")
 	})
 }
 
@@ -297,18 +297,18 @@
 
 func TestTrimRemovesOldRowsInSteps(t *testing.T) {
 	bubble(t, func(t *testing.T, table *faulty) {
-		k := node(table, "vm1")
+		d := node(table, "vm1")
 		for _, key := range []string{"1", "2", "3", "4", "5"} {
 			r := request("")
 			r.Key = key
-			mustRun(t, k, r)
+			mustRun(t, d, r)
 			if key == "3" {
 				time.Sleep(DefaultRetention)
 			}
 		}
 		after, removed, steps := "", 0, 0
 		for {
-			next, n, err := k.Trim(background, after, 2)
+			next, n, err := d.Trim(background, after, 2)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -332,20 +332,20 @@
 func TestEveryGivenUpClaimIsRemembered(t *testing.T) {
 	bubble(t, func(t *testing.T, table *faulty) {
 		table.set(faultLateWrite)
-		k := node(table, "vm1")
+		d := node(table, "vm1")
 		for range 2 {
 			r := request(config.OnStoreDownRefuse)
 			r.Deadline = time.Now().Add(lateBy / 3)
-			_, err := k.Begin(background, r)
+			_, err := d.Begin(background, r)
 			if got := reasonOf(t, err); got != call.ReasonStoreDown {
 				t.Fatalf("refused as %q", got)
 			}
 		}
 		time.Sleep(time.Second)
 		table.set(faultNone)
-		if err := k.Flush(background); err != nil {
+		if err := d.Flush(background); err != nil {
 			t.Fatal(err)
 		}
-		mustRun(t, k, request(config.OnStoreDownRefuse))
+		mustRun(t, d, request(config.OnStoreDownRefuse))
 	})
 }
--- a/internal/once/finish.go
+++ b/internal/once/finish.go
@@ -17,26 +17,26 @@
 	if err := c.end(); err != nil {
 		return err
 	}
-	if len(s.Body) > c.k.o.MaxBody {
+	if len(s.Body) > c.d.opts.MaxBody {
 		s.Body, s.Truncated = nil, true
 	}
 	c.row.Outcome = &s
-	c.k.settle(c.f, &s, false)
-	u := &unsavedOutcome{nonce: c.row.Nonce, row: c.row}
-	if err := c.k.store(ctx, c.f.key, u, c.guard); err != nil {
-		c.k.remember(c.f, u, c.guard)
+	c.d.publish(c.f, &s, false)
+	u := &unstoredOutcome{nonce: c.row.Nonce, row: c.row}
+	if err := c.d.store(ctx, c.f.key, u, c.localGuard); err != nil {
+		c.d.retainOutcome(c.f, u, c.localGuard)
 		return err
 	}
-	c.ended(&s)
+	c.forgetFlight(&s)
 	return nil
 }
 
-// ended forgets the flight of a run that the table knows of.
-func (c *Claim) ended(s *StoredOutcome) {
+// forgetFlight forgets the flight of a run that the table knows of.
+func (c *Claim) forgetFlight(s *StoredOutcome) {
 	if c.r.StoreDown == config.OnStoreDownLocalGuard {
-		c.k.recent.add(c.f.key, c.r.Fingerprint, s)
+		c.d.recent.add(c.f.key, c.r.Fingerprint, s)
 	}
-	c.k.leave(c.f)
+	c.d.forget(c.f)
 }
 
 // Lost ends the claim of a run whose outcome is not known, because the backend
@@ -48,16 +48,16 @@
 	if err := c.end(); err != nil {
 		return err
 	}
-	if c.guard {
-		c.k.settle(c.f, nil, true)
+	if c.localGuard {
+		c.d.publish(c.f, nil, true)
 		return nil
 	}
 	c.row.Lost = true
 	value, err := c.row.encode()
 	if err == nil {
-		err = c.k.batcher.do(ctx, &item{write: platform.Write{Key: c.f.key, Value: value}})
+		err = c.d.batcher.do(ctx, &item{write: platform.Write{Key: c.f.key, Value: value}})
 	}
-	c.ended(nil)
+	c.forgetFlight(nil)
 	return err
 }
 
@@ -71,9 +71,9 @@
 	}
 	// Remembered before anything is sent: a resend may meet the row while
 	// its removal is under way.
-	c.k.release(c.f.key, c.row.Nonce)
-	err := c.k.unclaim(ctx, c.f.key, c.row.Nonce)
-	c.k.leave(c.f)
+	c.d.abandon(c.f.key, c.row.Nonce)
+	err := c.d.removeClaim(ctx, c.f.key, c.row.Nonce)
+	c.d.forget(c.f)
 	return err
 }
 
@@ -82,25 +82,25 @@
 // writes to it until it has an outcome, and writing the same outcome twice is
 // harmless, so a write whose answer was lost is simply sent again. A guard has
 // no row of its own for certain and must not replace another's.
-func (k *Deduplicator) store(ctx context.Context, key string, u *unsavedOutcome, guard bool) error {
+func (d *Deduplicator) store(ctx context.Context, key string, u *unstoredOutcome, localGuard bool) error {
 	value, err := u.row.encode()
 	if err != nil {
 		return err
 	}
-	a := &attempt{k: k, pause: minPause}
+	a := &attempt{d: d, backoff: minBackoff}
 	for {
 		it := &item{write: platform.Write{Key: key, Value: value}}
-		if guard {
-			it.condition, err = k.guardCondition(ctx, key, u.nonce)
+		if localGuard {
+			it.condition, err = d.localGuardCondition(ctx, key, u.nonce)
 		}
 		if err == nil {
-			err = k.batcher.do(ctx, it)
+			err = d.batcher.do(ctx, it)
 		}
 		var conflict *platform.ConflictError
 		switch {
-		case err == nil, errors.Is(err, errStored):
+		case err == nil, errors.Is(err, errAlreadyStored):
 			return nil
-		case errors.Is(err, errTaken):
+		case errors.Is(err, errOtherClaimant):
 			return err
 		case errors.As(err, &conflict):
 			// The row changed since it was read; read it again.
@@ -112,117 +112,117 @@
 	}
 }
 
-// errTaken means that another claimant holds the row of a guard's key: both
+// errOtherClaimant means that another claimant holds the row of a guard's key: both
 // ran the request, which is what a guard cannot rule out.
-var errTaken = errors.New("once: another claimant holds the row")
+var errOtherClaimant = errors.New("once: another claimant holds the row")
 
-// errStored means that a write of the outcome took effect though its answer was
+// errAlreadyStored means that a write of the outcome took effect though its answer was
 // lost.
-var errStored = errors.New("once: the outcome is stored")
+var errAlreadyStored = errors.New("once: the outcome is stored")
 
-func (k *Deduplicator) guardCondition(ctx context.Context, key, nonce string) (*platform.Condition, error) {
-	got, err := k.o.Table.Get(ctx, key)
+func (d *Deduplicator) localGuardCondition(ctx context.Context, key, nonce string) (*platform.Condition, error) {
+	got, err := d.opts.Table.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
 		return &platform.Condition{Key: key, Revision: platform.Absent}, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	stands, err := decodeRow(got.Value)
-	if err != nil || stands.Nonce != nonce {
-		return nil, errTaken
+	existing, err := decodeRow(got.Value)
+	if err != nil || existing.Nonce != nonce {
+		return nil, errOtherClaimant
 	}
-	if stands.Outcome != nil {
-		return nil, errStored
+	if existing.Outcome != nil {
+		return nil, errAlreadyStored
 	}
 	return &platform.Condition{Key: key, Revision: got.Revision}, nil
 }
 
 const (
-	// maxKeptBody is the largest body that a guard remembers, so that
+	// maxLocalBody is the largest body that a guard remembers, so that
 	// MaxLocalKeys outcomes fit its memory.
-	maxKeptBody = 1 << 10
-	// maxKeptBytes bounds the bodies of other outcomes that wait to be stored.
-	maxKeptBytes = 8 << 20
+	maxLocalBody = 1 << 10
+	// maxLocalBytes bounds the bodies of other outcomes that wait to be stored.
+	maxLocalBytes = 8 << 20
 )
 
-// remember keeps the outcome at this node because the platform does not have
+// retainOutcome keeps the outcome at this node because the platform does not have
 // it. Without room the outcome is dropped, and repeats are told "unknown" by
 // the claim row. A guard always has room, because it took it before the run,
 // but loses a large body. The body of another outcome is kept whole: a write of
 // it may still be under way, and the row must not end up with either of two.
-func (k *Deduplicator) remember(f *flight, u *unsavedOutcome, guard bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.stats.Unstored++
+func (d *Deduplicator) retainOutcome(f *flight, u *unstoredOutcome, localGuard bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.stats.Unstored++
 	size := len(u.row.Outcome.Body)
 	switch {
-	case guard && size > maxKeptBody:
-		u.row.Outcome = withinMemory(u.row.Outcome)
+	case localGuard && size > maxLocalBody:
+		u.row.Outcome = truncateBody(u.row.Outcome)
 		f.outcome = u.row.Outcome
-	case !guard && (k.held >= k.o.MaxLocalKeys || k.heldBytes+size > maxKeptBytes):
-		k.recent.add(f.key, f.fingerprint, nil)
-		k.drop(f)
+	case !localGuard && (d.localKeys >= d.opts.MaxLocalKeys || d.localBytes+size > maxLocalBytes):
+		d.recent.add(f.key, f.fingerprint, nil)
+		d.forgetLocked(f)
 		return
-	case !guard:
+	case !localGuard:
 		f.bytes = size
-		k.heldBytes += size
+		d.localBytes += size
 	}
-	k.keep(f)
-	f.unsaved = u
+	d.retain(f)
+	f.unstored = u
 }
 
-// guard takes room to remember f at this node only.
-func (k *Deduplicator) guard(f *flight) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.held >= k.o.MaxLocalKeys {
+// startLocalGuard takes room to remember f at this node only.
+func (d *Deduplicator) startLocalGuard(f *flight) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.localKeys >= d.opts.MaxLocalKeys {
 		return false
 	}
-	k.keep(f)
-	k.stats.LocalGuards++
+	d.retain(f)
+	d.stats.LocalGuards++
 	return true
 }
 
-// keep marks f as remembered. k.mu is held.
-func (k *Deduplicator) keep(f *flight) {
-	if !f.kept {
-		f.kept = true
-		k.held++
+// retain marks f as remembered. d.mu is held.
+func (d *Deduplicator) retain(f *flight) {
+	if !f.retained {
+		f.retained = true
+		d.localKeys++
 	}
 }
 
-func (k *Deduplicator) release(key, nonce string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.released) >= k.o.MaxLocalKeys {
+func (d *Deduplicator) abandon(key, nonce string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if len(d.abandoned) >= d.opts.MaxLocalKeys {
 		// Dropping one costs its caller an "unknown" in place of a run.
-		for other := range k.released {
-			delete(k.released, other)
+		for other := range d.abandoned {
+			delete(d.abandoned, other)
 			break
 		}
 	}
-	k.released[released{key, nonce}] = givenUp{since: k.o.Now()}
+	d.abandoned[abandoned{key, nonce}] = abandonTimes{since: d.opts.Now()}
 }
 
-// released names a claim that was given up without a run. A key may have several:
+// abandoned names a claim that was given up without a run. A key may have several:
 // each sending of a request that is refused while answers of the platform get
 // lost leaves one, and the row of any may be the one that stands.
-type released struct{ key, nonce string }
+type abandoned struct{ key, nonce string }
 
-// givenUp is when a claim was given up and when its row is looked for next.
-type givenUp struct{ since, next time.Time }
+// abandonTimes is when a claim was given up and when its row is looked for next.
+type abandonTimes struct{ since, nextCheck time.Time }
 
-func (k *Deduplicator) wasReleased(key, nonce string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	_, ok := k.released[released{key, nonce}]
+func (d *Deduplicator) wasAbandoned(key, nonce string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	_, ok := d.abandoned[abandoned{key, nonce}]
 	return ok
 }
 
-// unclaim removes the row of a claim that was given up, if it stands.
-func (k *Deduplicator) unclaim(ctx context.Context, key, nonce string) error {
-	got, err := k.o.Table.Get(ctx, key)
+// removeClaim removes the row of a claim that was given up, if it stands.
+func (d *Deduplicator) removeClaim(ctx context.Context, key, nonce string) error {
+	got, err := d.opts.Table.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
 		// The row may yet appear if its write is under way, or this read
 		// is stale. It stays in released and Flush looks again.
@@ -231,32 +231,32 @@
 	if err != nil {
 		return err
 	}
-	stands, err := decodeRow(got.Value)
+	existing, err := decodeRow(got.Value)
 	if err != nil {
 		return err
 	}
-	if stands.Outcome != nil {
-		k.forgetReleased(key, nonce)
+	if existing.Outcome != nil {
+		d.forgetAbandoned(key, nonce)
 		return nil
 	}
-	if stands.Nonce != nonce {
+	if existing.Nonce != nonce {
 		// Another claim was first. Should that one be given up too, the
 		// write of this one, still under way, would meet no row.
 		return nil
 	}
-	return k.removeReleased(ctx, got)
+	return d.removeRow(ctx, got)
 }
 
-func (k *Deduplicator) removeReleased(ctx context.Context, got platform.Row) error {
-	return k.batcher.do(ctx, &item{
+func (d *Deduplicator) removeRow(ctx context.Context, got platform.Row) error {
+	return d.batcher.do(ctx, &item{
 		condition: &platform.Condition{Key: got.Key, Revision: got.Revision},
 		write:     platform.Write{Key: got.Key, Delete: true},
 		urgent:    true,
 	})
 }
 
-func (k *Deduplicator) forgetReleased(key, nonce string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.released, released{key, nonce})
+func (d *Deduplicator) forgetAbandoned(key, nonce string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.abandoned, abandoned{key, nonce})
 }
--- a/internal/once/flight.go
+++ b/internal/once/flight.go
@@ -23,56 +23,56 @@
 	// must look again.
 	outcome *StoredOutcome
 	lost    bool // the outcome never will be known
-	// kept says that the outcome, or the fact of the run, is remembered here
+	// retained says that the outcome, or the fact of the run, is remembered here
 	// because the platform does not have it. unsaved is what it should have.
-	kept    bool
-	unsaved *unsavedOutcome
-	bytes   int // counted in Deduplicator.heldBytes
+	retained bool
+	unstored *unstoredOutcome
+	bytes    int // counted in Deduplicator.heldBytes
 }
 
-// unsavedOutcome is an outcome that could not be stored yet.
-type unsavedOutcome struct {
+// unstoredOutcome is an outcome that could not be stored yet.
+type unstoredOutcome struct {
 	nonce string
 	row   row
 }
 
-// enter returns the flight of the key and whether the caller is its first.
-func (k *Deduplicator) enter(key string, r Request) (*flight, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if f := k.flights[key]; f != nil {
+// flightFor returns the flight of the key and whether the caller is its first.
+func (d *Deduplicator) flightFor(key string, r Request) (*flight, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if f := d.flights[key]; f != nil {
 		return f, false
 	}
-	f := &flight{key: key, fingerprint: r.Fingerprint, since: k.o.Now(), done: make(chan struct{})}
-	k.flights[key] = f
+	f := &flight{key: key, fingerprint: r.Fingerprint, since: d.opts.Now(), done: make(chan struct{})}
+	d.flights[key] = f
 	return f, true
 }
 
-// leave forgets a flight that ended without an outcome at this node.
-func (k *Deduplicator) leave(f *flight) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.drop(f)
+// forget forgets a flight that ended without an outcome at this node.
+func (d *Deduplicator) forget(f *flight) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.forgetLocked(f)
 }
 
-// drop forgets a flight. k.mu is held.
-func (k *Deduplicator) drop(f *flight) {
-	if k.flights[f.key] != f {
+// forgetLocked forgets a flight. d.mu is held.
+func (d *Deduplicator) forgetLocked(f *flight) {
+	if d.flights[f.key] != f {
 		return
 	}
-	delete(k.flights, f.key)
-	if f.kept {
-		k.held--
-		k.heldBytes -= f.bytes
+	delete(d.flights, f.key)
+	if f.retained {
+		d.localKeys--
+		d.localBytes -= f.bytes
 	}
 	closeOnce(f.done)
 }
 
-// settle gives the outcome, or that there is none to be known, to those who
+// publish gives the outcome, or that there is none to be known, to those who
 // joined.
-func (k *Deduplicator) settle(f *flight, s *StoredOutcome, lost bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (d *Deduplicator) publish(f *flight, s *StoredOutcome, lost bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	f.outcome, f.lost = s, lost
 	closeOnce(f.done)
 }
@@ -86,27 +86,27 @@
 }
 
 // join waits for the outcome of a run on this node.
-func (k *Deduplicator) join(ctx context.Context, f *flight, r Request) (Decision, error) {
+func (d *Deduplicator) join(ctx context.Context, f *flight, r Request) (Decision, error) {
 	if f.fingerprint != r.Fingerprint {
-		return k.count(Decision{}, refusal(call.ReasonKeyReused, ""))
+		return d.count(Decision{}, refusal(call.ReasonKeyReused, ""))
 	}
-	k.mu.Lock()
-	k.stats.Joins++
-	k.mu.Unlock()
+	d.mu.Lock()
+	d.stats.Joins++
+	d.mu.Unlock()
 	select {
 	case <-f.done:
 	case <-ctx.Done():
-		return k.count(Decision{Unknown: true}, nil)
+		return d.count(Decision{Unknown: true}, nil)
 	}
-	s, lost := k.outcome(f)
+	s, lost := d.outcome(f)
 	if s != nil || lost {
-		return k.count(Decision{Replay: s, Unknown: lost}, nil)
+		return d.count(Decision{Replay: s, Unknown: lost}, nil)
 	}
-	return k.Begin(ctx, r)
+	return d.Begin(ctx, r)
 }
 
-func (k *Deduplicator) outcome(f *flight) (s *StoredOutcome, lost bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (d *Deduplicator) outcome(f *flight) (s *StoredOutcome, lost bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	return f.outcome, f.lost
 }
--- a/internal/once/group_test.go
+++ b/internal/once/group_test.go
@@ -36,16 +36,16 @@
 
 const platformLatency = 8 * time.Millisecond
 
-func measureClaims(t *testing.T, nodes, rate int, linger time.Duration, single bool) (out claimFigures) {
+func measureClaims(t *testing.T, nodes, rate int, linger time.Duration, unbatched bool) (out claimFigures) {
 	synctest.Test(t, func(t *testing.T) {
 		table := newFaulty()
 		table.latency = platformLatency
 		var keepers []*Deduplicator
 		for i := range nodes {
-			k := New(Options{Table: table, Holder: fmt.Sprint(i)})
-			k.batcher.linger = linger
-			k.batcher.single = single
-			keepers = append(keepers, k)
+			d := New(Options{Table: table, Holder: fmt.Sprint(i)})
+			d.batcher.linger = linger
+			d.batcher.unbatched = unbatched
+			keepers = append(keepers, d)
 		}
 		const seconds = 1
 		total := rate * seconds
--- a/internal/once/property_test.go
+++ b/internal/once/property_test.go
@@ -59,7 +59,7 @@
 			Deadline: ms(50, 5000).Draw(t, "deadline"),
 			Pause:    rapid.SampledFrom([]time.Duration{0, 0, 500 * time.Millisecond, 3 * time.Second}).Draw(t, "pause"),
 			RunTime:  ms(1, 1500).Draw(t, "run"),
-			Size:     rapid.SampledFrom([]int{0, 2 * maxKeptBody}).Draw(t, "size"),
+			Size:     rapid.SampledFrom([]int{0, 2 * maxLocalBody}).Draw(t, "size"),
 			Ending:   rapid.SampledFrom([]int{0, 0, 0, 1, 2, 3}).Draw(t, "ending"),
 		})
 	}
--- a/internal/once/recent.go
+++ b/internal/once/recent.go
@@ -30,7 +30,7 @@
 }
 
 func (m recent) add(key string, fingerprint [32]byte, s *StoredOutcome) {
-	m.runs.Add(key, recentRun{fingerprint: fingerprint, outcome: withinMemory(s)})
+	m.runs.Add(key, recentRun{fingerprint: fingerprint, outcome: truncateBody(s)})
 }
 
 // find returns what to answer to a resend, and whether the key is known.
@@ -45,9 +45,9 @@
 	return Decision{Replay: run.outcome, Unknown: run.outcome == nil}, true, nil
 }
 
-// withinMemory drops a body that is too large to be remembered at a node.
-func withinMemory(s *StoredOutcome) *StoredOutcome {
-	if s == nil || len(s.Body) <= maxKeptBody {
+// truncateBody drops a body that is too large to be remembered at a node.
+func truncateBody(s *StoredOutcome) *StoredOutcome {
+	if s == nil || len(s.Body) <= maxLocalBody {
 		return s
 	}
 	return &StoredOutcome{Status: s.Status, Header: s.Header, Truncated: true}
--- a/internal/once/record_test.go
+++ b/internal/once/record_test.go
@@ -29,7 +29,7 @@
 // beside it were refused, or ran without a claim. Both must be claimed.
 func TestLongKeyFailsNobody(t *testing.T) {
 	bubble(t, func(t *testing.T, table *faulty) {
-		k := New(Options{Table: bounded{table}, Holder: "vm1"})
+		d := New(Options{Table: bounded{table}, Holder: "vm1"})
 		first := request(config.OnStoreDownRefuse)
 		first.Key = "first"
 		long := first
@@ -39,7 +39,7 @@
 		errs := make(chan error, 3)
 		for _, r := range []Request{first, long, sound} {
 			go func() {
-				b, err := k.Begin(background, r)
+				b, err := d.Begin(background, r)
 				if err == nil {
 					err = b.Run.Finish(background, StoredOutcome{Status: 201})
 				}
@@ -53,7 +53,7 @@
 		}
 		other := long
 		other.Key += "y"
-		mustRun(t, k, other)
+		mustRun(t, d, other)
 	})
 }
 
--- a/internal/once/upkeep.go
+++ b/internal/once/upkeep.go
@@ -11,23 +11,23 @@
 	"github.com/marlpass/marlpass/internal/platform"
 )
 
-// releasedFor is how long a given-up claim is remembered after its removal
+// abandonedRetention is how long a given-up claim is remembered after its removal
 // seemed done. A write that was under way, or hidden by a stale read, must have
 // shown by then.
-const releasedFor = 10 * time.Minute
+const abandonedRetention = 10 * time.Minute
 
-// flushBound bounds one Flush, so that a caller with other work to do between
+// flushTimeout bounds one Flush, so that a caller with other work to do between
 // two of them is not held up while the platform is down. A slow transaction
 // fits in it.
-const flushBound = 2 * commitTimeout
+const flushTimeout = 2 * commitTimeout
 
 // Flush tries again to store the outcomes that the platform does not have and
 // to remove the claims that were given up. Call it every few seconds.
-func (k *Deduplicator) Flush(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, flushBound)
+func (d *Deduplicator) Flush(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	err := errors.Join(k.flushOutcomes(ctx), k.flushReleased(ctx))
-	k.dropOld()
+	err := errors.Join(d.flushOutcomes(ctx), d.flushAbandoned(ctx))
+	d.forgetExpired()
 	return err
 }
 
@@ -36,37 +36,37 @@
 // It guards against second runs after an outage. What this node alone remembers
 // dies with its VM; stored one after another, each waiting for others to share
 // its transaction, most of it would be lost in a planned stop.
-func (k *Deduplicator) flushOutcomes(ctx context.Context) error {
+func (d *Deduplicator) flushOutcomes(ctx context.Context) error {
 	var g errgroup.Group
 	g.SetLimit(maxBatchRows)
-	for f, u := range k.unsavedFlights() {
+	for f, u := range d.unstoredFlights() {
 		if ctx.Err() != nil {
 			break
 		}
-		g.Go(func() error { return k.flushOutcome(ctx, f, u) })
+		g.Go(func() error { return d.flushOutcome(ctx, f, u) })
 	}
 	return g.Wait()
 }
 
-func (k *Deduplicator) flushOutcome(ctx context.Context, f *flight, u *unsavedOutcome) error {
-	err := k.store(ctx, f.key, u, true)
-	if err == nil || errors.Is(err, errTaken) {
-		k.recent.add(f.key, f.fingerprint, u.row.Outcome)
-		k.leave(f)
+func (d *Deduplicator) flushOutcome(ctx context.Context, f *flight, u *unstoredOutcome) error {
+	err := d.store(ctx, f.key, u, true)
+	if err == nil || errors.Is(err, errOtherClaimant) {
+		d.recent.add(f.key, f.fingerprint, u.row.Outcome)
+		d.forget(f)
 	}
 	return err
 }
 
-func (k *Deduplicator) flushReleased(ctx context.Context) error {
+func (d *Deduplicator) flushAbandoned(ctx context.Context) error {
 	var errs []error
-	now := k.o.Now()
-	for r, times := range k.releasedClaims() {
-		if now.Before(times.next) {
+	now := d.opts.Now()
+	for r, times := range d.abandonedClaims() {
+		if now.Before(times.nextCheck) {
 			continue
 		}
-		err := k.unclaim(ctx, r.key, r.nonce)
+		err := d.removeClaim(ctx, r.key, r.nonce)
 		if err == nil {
-			k.looked(now, r)
+			d.scheduleNextCheck(now, r)
 		}
 		errs = append(errs, err)
 		if ctx.Err() != nil {
@@ -76,51 +76,51 @@
 	return errors.Join(errs...)
 }
 
-// looked notes that no row of a given-up claim stands now. The next look comes
+// scheduleNextCheck notes that no row of a given-up claim stands now. The next look comes
 // after as long again: looking at every Flush, the nodes of the mesh would read
 // the claims of one outage more often than the platform can answer.
-func (k *Deduplicator) looked(now time.Time, r released) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	times, ok := k.released[r]
+func (d *Deduplicator) scheduleNextCheck(now time.Time, r abandoned) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	times, ok := d.abandoned[r]
 	if !ok {
 		return
 	}
 	age := now.Sub(times.since)
-	if age > releasedFor {
-		delete(k.released, r)
+	if age > abandonedRetention {
+		delete(d.abandoned, r)
 		return
 	}
-	times.next = now.Add(age)
-	k.released[r] = times
+	times.nextCheck = now.Add(age)
+	d.abandoned[r] = times
 }
 
-func (k *Deduplicator) unsavedFlights() map[*flight]*unsavedOutcome {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	out := make(map[*flight]*unsavedOutcome)
-	for _, f := range k.flights {
-		if f.unsaved != nil {
-			out[f] = f.unsaved
+func (d *Deduplicator) unstoredFlights() map[*flight]*unstoredOutcome {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	out := make(map[*flight]*unstoredOutcome)
+	for _, f := range d.flights {
+		if f.unstored != nil {
+			out[f] = f.unstored
 		}
 	}
 	return out
 }
 
-func (k *Deduplicator) releasedClaims() map[released]givenUp {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return maps.Clone(k.released)
+func (d *Deduplicator) abandonedClaims() map[abandoned]abandonTimes {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return maps.Clone(d.abandoned)
 }
 
-// dropOld forgets what is older than Retention.
-func (k *Deduplicator) dropOld() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.o.Now()
-	for _, f := range k.flights {
-		if f.kept && now.Sub(f.since) > k.o.Retention {
-			k.drop(f)
+// forgetExpired forgets what is older than Retention.
+func (d *Deduplicator) forgetExpired() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.opts.Now()
+	for _, f := range d.flights {
+		if f.retained && now.Sub(f.since) > d.opts.Retention {
+			d.forgetLocked(f)
 		}
 	}
 }
@@ -129,26 +129,26 @@
 // in one scan and at most two transactions. It returns where to go on, which is
 // empty at the end of the table. One node at a time should call it, at a slow
 // pace; two that do only meet conflicts.
-func (k *Deduplicator) Trim(ctx context.Context, after string, limit int) (next string, removed int, err error) {
-	rows, err := k.o.Table.Scan(ctx, platform.OncePrefix, after, limit)
+func (d *Deduplicator) Trim(ctx context.Context, after string, limit int) (next string, removed int, err error) {
+	rows, err := d.opts.Table.Scan(ctx, platform.OncePrefix, after, limit)
 	if err != nil {
 		return after, 0, err
 	}
 	if len(rows) == limit {
 		next = rows[len(rows)-1].Key
 	}
-	old := k.expired(rows)
+	old := d.expired(rows)
 	if len(old) == 0 {
 		return next, 0, nil
 	}
-	err = k.o.Table.Commit(ctx, removal(old))
+	err = d.opts.Table.Commit(ctx, removal(old))
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) {
 		old = without(old, conflict.Keys)
 		if len(old) == 0 {
 			return next, 0, nil
 		}
-		err = k.o.Table.Commit(ctx, removal(old))
+		err = d.opts.Table.Commit(ctx, removal(old))
 	}
 	if err != nil {
 		return after, 0, err
@@ -156,12 +156,12 @@
 	return next, len(old), nil
 }
 
-func (k *Deduplicator) expired(rows []platform.Row) []platform.Row {
-	now := k.o.Now()
+func (d *Deduplicator) expired(rows []platform.Row) []platform.Row {
+	now := d.opts.Now()
 	var old []platform.Row
 	for _, r := range rows {
 		v, err := decodeRow(r.Value)
-		if err == nil && now.Sub(v.claimedAt()) > k.o.Retention {
+		if err == nil && now.Sub(v.claimedAt()) > d.opts.Retention {
 			old = append(old, r)
 		}
 	}
--- a/internal/once/upkeep_test.go
+++ b/internal/once/upkeep_test.go
@@ -18,7 +18,7 @@
 	const bookings = 300
 	bubble(t, func(t *testing.T, table *faulty) {
 		table.set(faultOutage)
-		k := node(table, "vm1")
+		d := node(table, "vm1")
 		keyed := func(i int) Request {
 			r := request(config.OnStoreDownLocalGuard)
 			r.Key = strconv.Itoa(i)
@@ -27,7 +27,7 @@
 		ended, cancel := context.WithCancel(background)
 		cancel()
 		for i := range bookings {
-			if err := mustRun(t, k, keyed(i)).Finish(ended, StoredOutcome{Status: 201, Body: []byte("berth")}); err == nil {
+			if err := mustRun(t, d, keyed(i)).Finish(ended, StoredOutcome{Status: 201, Body: []byte("berth")}); err == nil {
 				t.Fatal("stored in an outage")
 			}
 		}
@@ -35,7 +35,7 @@
 		before := table.writes()
 		ctx, cancel := context.WithTimeout(background, 5*time.Second)
 		defer cancel()
-		if err := k.Flush(ctx); err != nil {
+		if err := d.Flush(ctx); err != nil {
 			t.Errorf("Flush: %v", err)
 		}
 		after := table.writes()
@@ -55,14 +55,14 @@
 func TestFlushEndsInAnOutage(t *testing.T) {
 	bubble(t, func(t *testing.T, table *faulty) {
 		table.set(faultOutage)
-		k := node(table, "vm1")
-		c := mustRun(t, k, request(config.OnStoreDownLocalGuard))
+		d := node(table, "vm1")
+		c := mustRun(t, d, request(config.OnStoreDownLocalGuard))
 		ended, cancel := context.WithCancel(background)
 		cancel()
 		_ = c.Finish(ended, StoredOutcome{Status: 201})
 		watchdog, stop := context.WithTimeout(background, time.Hour)
 		defer stop()
-		if err := k.Flush(watchdog); err == nil || watchdog.Err() != nil {
+		if err := d.Flush(watchdog); err == nil || watchdog.Err() != nil {
 			t.Errorf("Flush: %v, and the hour is over: %v", err, watchdog.Err() != nil)
 		}
 	})
@@ -85,14 +85,14 @@
 func TestGivenUpClaimsAreReadSeldom(t *testing.T) {
 	bubble(t, func(t *testing.T, table *faulty) {
 		c := &readCounter{Table: table}
-		k := New(Options{Table: c, Holder: "vm1"})
-		if err := mustRun(t, k, request("")).Abandon(background); err != nil {
+		d := New(Options{Table: c, Holder: "vm1"})
+		if err := mustRun(t, d, request("")).Abandon(background); err != nil {
 			t.Fatal(err)
 		}
 		c.reads = 0
-		for range releasedFor / (2 * time.Second) {
+		for range abandonedRetention / (2 * time.Second) {
 			time.Sleep(2 * time.Second)
-			if err := k.Flush(background); err != nil {
+			if err := d.Flush(background); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/pipeline/body.go
+++ b/internal/pipeline/body.go
@@ -9,28 +9,28 @@
 
 // requestBody is the body of a request.
 type requestBody struct {
-	e        *exchange
-	mu       sync.Mutex // a handler's transport may read on beside drain
-	r        io.ReadCloser
-	expected bool // the client waits for 100 Continue
-	once     sync.Once
-	done     chan struct{} // closed at the body's end
-	failed   bool
+	e               *exchange
+	mu              sync.Mutex // a handler's transport may read on beside drain
+	r               io.ReadCloser
+	expectsContinue bool // the client waits for 100 Continue
+	once            sync.Once
+	done            chan struct{} // closed at the body's end
+	discarded       bool
 }
 
-// errBodyGone is returned to who reads a body after the answer is complete.
-var errBodyGone = errors.New("pipeline: the request's body is no longer read")
+// errBodyClosed is returned to who reads a body after the answer is complete.
+var errBodyClosed = errors.New("pipeline: the request's body is no longer read")
 
 // Read implements io.Reader.
 func (b *requestBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.failed {
-		return 0, errBodyGone
+	if b.discarded {
+		return 0, errBodyClosed
 	}
-	if b.expected {
-		b.expected = false
-		if err := b.invite(); err != nil {
+	if b.expectsContinue {
+		b.expectsContinue = false
+		if err := b.sendContinue(); err != nil {
 			return 0, err
 		}
 	}
@@ -41,14 +41,14 @@
 	return n, err
 }
 
-// invite tells the client to send the body.
-func (b *requestBody) invite() error {
-	if !b.e.await() {
+// sendContinue tells the client to send the body.
+func (b *requestBody) sendContinue() error {
+	if !b.e.awaitTurn() {
 		return context.Canceled
 	}
 	b.e.c.wmu.Lock()
 	defer b.e.c.wmu.Unlock()
-	if b.e.sent {
+	if b.e.headerSent {
 		return nil // the answer is there before the body
 	}
 	if _, err := b.e.c.bw.WriteString("HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
@@ -77,10 +77,10 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.failed = true
-	if b.expected {
+	b.discarded = true
+	if b.expectsContinue {
 		return false // the client may or may not send it
 	}
-	n, err := io.CopyN(io.Discard, b.r, maxDrained)
-	return err == io.EOF && n < maxDrained
+	n, err := io.CopyN(io.Discard, b.r, maxDrainBytes)
+	return err == io.EOF && n < maxDrainBytes
 }
--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -18,15 +18,15 @@
 	writeBuffer = 8 << 10
 	// headerSlack is what the read buffer may take beyond a header.
 	headerSlack = readBuffer
-	// maxDrained is how much of a body that the handler left is read in order to
+	// maxDrainBytes is how much of a body that the handler left is read in order to
 	// keep the connection.
-	maxDrained = 256 << 10
-	// lingerFor is how long a connection that ends with unread bytes stays open
+	maxDrainBytes = 256 << 10
+	// lingerTimeout is how long a connection that ends with unread bytes stays open
 	// for reading, so that the kernel does not reset it under the answer.
-	lingerFor = 500 * time.Millisecond
-	// lastLook is how long a connection without requests is still read when the server shuts
+	lingerTimeout = 500 * time.Millisecond
+	// finalReadTimeout is how long a connection without requests is still read when the server shuts
 	// down: a request that has come may wait in the socket.
-	lastLook = 50 * time.Millisecond
+	finalReadTimeout = 50 * time.Millisecond
 )
 
 // errHeaderTooLarge ends the reading of a header that is over its limit.
@@ -43,23 +43,23 @@
 	bw     *bufio.Writer
 	ctx    context.Context
 	cancel context.CancelFunc
-	// work is the context of the requests. It ends with ctx, or before it when the
+	// requestCtx is the context of the requests. It ends with ctx, or before it when the
 	// server gives up on requests whose answers may still be sent.
-	work     context.Context
-	stopWork context.CancelFunc
+	requestCtx     context.Context
+	cancelRequests context.CancelFunc
 
 	mu sync.Mutex // guards the rest
-	// due are the requests that were read and are not answered, oldest first.
-	due []*exchange
-	// last says that no request after those due, and the one being read, will be
-	// read; gone that the client has left; closed that the last answer was sent.
-	last, gone, closed bool
+	// pending are the requests that were read and are not answered, oldest first.
+	pending []*exchange
+	// readsDone says that no request after those due, and the one being read, will be
+	// read; clientGone that the client has left; responsesDone that the readsDone answer was sent.
+	readsDone, clientGone, responsesDone bool
 	// reading says that a request's first byte has come and it is not due yet.
 	reading bool
-	// waiting says that the reader waits for a first byte, or is about to; looking that it is to
+	// waiting says that the reader waits for a first byte, or is about to; finalRead that it is to
 	// do so once more only.
-	waiting, looking bool
-	room             *sync.Cond // signalled when due shrinks
+	waiting, finalRead bool
+	pendingShrank      *sync.Cond // signalled when due shrinks
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
@@ -67,26 +67,26 @@
 		bw: bufio.NewWriterSize(nc, writeBuffer), waiting: true}
 	c.br = bufio.NewReaderSize(c.lr, readBuffer)
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.work, c.stopWork = context.WithCancel(c.ctx)
-	c.room = sync.NewCond(&c.mu)
+	c.requestCtx, c.cancelRequests = context.WithCancel(c.ctx)
+	c.pendingShrank = sync.NewCond(&c.mu)
 	return c
 }
 
 // limitedReader fails once more than its limit was read; a negative limit is none.
 type limitedReader struct {
-	r    io.Reader
-	left int
+	r         io.Reader
+	remaining int
 }
 
 func (l *limitedReader) Read(p []byte) (int, error) {
-	if l.left < 0 {
+	if l.remaining < 0 {
 		return l.r.Read(p)
 	}
-	if l.left == 0 {
+	if l.remaining == 0 {
 		return 0, errHeaderTooLarge
 	}
-	n, err := l.r.Read(p[:min(len(p), l.left)])
-	l.left -= n
+	n, err := l.r.Read(p[:min(len(p), l.remaining)])
+	l.remaining -= n
 	return n, err
 }
 
@@ -97,11 +97,11 @@
 // client has left: the contexts of all requests end then, and with them the work
 // that nobody waits for.
 func (c *conn) serve() {
-	defer c.s.forget(c)
+	defer c.s.removeConn(c)
 	for {
 		r, err := c.next()
 		if err != nil {
-			c.end(err)
+			c.handleReadError(err)
 			return
 		}
 		if !c.dispatch(r) {
@@ -113,11 +113,11 @@
 
 // next reads the header of the next request.
 func (c *conn) next() (*http.Request, error) {
-	if err := c.awaitFirst(); err != nil {
+	if err := c.awaitFirstByte(); err != nil {
 		return nil, err
 	}
 	if !c.beginRead() {
-		return nil, errLast
+		return nil, errNoFurtherRequest
 	}
 	l := c.s.Limits()
 	if err := c.nc.SetReadDeadline(deadline(l.HeaderTimeout)); err != nil {
@@ -138,69 +138,69 @@
 	return r, nil
 }
 
-// awaitFirst waits for the first byte of the next request.
+// awaitFirstByte waits for the first byte of the next request.
 //
 // The bound on idle connections is asked for again when it has passed. Operators
 // may raise it at any time; a client that goes by the new bound would otherwise
 // send its next request into a connection that is being closed.
-func (c *conn) awaitFirst() error {
-	c.lr.left = -1
+func (c *conn) awaitFirstByte() error {
+	c.lr.remaining = -1
 	began := time.Now()
 	for {
 		bound := c.s.Limits().IdleTimeout
-		if bound > 0 && time.Since(began) >= bound && !c.isLooking() {
+		if bound > 0 && time.Since(began) >= bound && !c.inFinalRead() {
 			return os.ErrDeadlineExceeded
 		}
-		left := bound
+		remaining := bound
 		if bound > 0 {
-			left -= time.Since(began)
+			remaining -= time.Since(began)
 		}
-		last, err := c.boundIdle(left)
+		final, err := c.setIdleDeadline(remaining)
 		if err != nil {
 			return err
 		}
 		_, err = c.br.Peek(1)
-		if !errors.Is(err, os.ErrDeadlineExceeded) || last {
+		if !errors.Is(err, os.ErrDeadlineExceeded) || final {
 			return err
 		}
-		if time.Since(began) < bound && !c.isLooking() {
+		if time.Since(began) < bound && !c.inFinalRead() {
 			return err
 		}
 	}
 }
 
-// boundIdle sets how long the client may stay quiet from now on, and reports whether
+// setIdleDeadline sets how long the client may stay quiet from now on, and reports whether
 // the connection ends then. It fails once the last answer was sent: setting the bound
 // then would undo that of closing, and the connection would stay open until the client
 // ends it.
-func (c *conn) boundIdle(left time.Duration) (last bool, err error) {
+func (c *conn) setIdleDeadline(remaining time.Duration) (final bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed {
-		return false, errLast
+	if c.responsesDone {
+		return false, errNoFurtherRequest
 	}
 	c.waiting = true
-	if c.looking {
-		left = lastLook
+	if c.finalRead {
+		remaining = finalReadTimeout
 	}
-	return c.looking, c.nc.SetReadDeadline(deadline(left))
+	return c.finalRead, c.nc.SetReadDeadline(deadline(remaining))
 }
 
-func (c *conn) isLooking() bool {
+func (c *conn) inFinalRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.looking
+	return c.finalRead
 }
 
 // readHeader reads the header of a request, which may take up to most bytes. What
 // comes behind it in one piece may be its body, and does not count.
-func (c *conn) readHeader(most int) (*http.Request, error) {
+func (c *conn) readHeader(limit int) (*http.Request, error) {
 	before := c.br.Buffered()
-	c.lr.left = most + headerSlack
+	c.lr.remaining = limit + headerSlack
 	r, err := http.ReadRequest(c.br)
-	taken := before + most + headerSlack - c.lr.left - c.br.Buffered()
-	c.lr.left = -1
-	if err == nil && taken > most {
+	headerSize := before + limit + headerSlack - c.lr.remaining - c.br.Buffered()
+	c.lr.remaining = -1
+	if err == nil && headerSize > limit {
 		return nil, errHeaderTooLarge
 	}
 	return r, err
@@ -215,8 +215,8 @@
 
 var (
 	errNoHost = errors.New("pipeline: the request names no host")
-	// errLast means that no further request is read on the connection.
-	errLast = errors.New("pipeline: the connection takes no further request")
+	// errNoFurtherRequest means that no further request is read on the connection.
+	errNoFurtherRequest = errors.New("pipeline: the connection takes no further request")
 )
 
 // requestError is why a request that the client began could not be read.
@@ -229,7 +229,7 @@
 func (c *conn) beginRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reading, c.waiting = !c.last, false
+	c.reading, c.waiting = !c.readsDone, false
 	return c.reading
 }
 
@@ -242,7 +242,7 @@
 	}
 	go e.run()
 	if e.bodyless() {
-		return !r.Close || c.waitLast()
+		return !r.Close || c.watchForClose()
 	}
 	// What follows the body cannot be read before the body was.
 	select {
@@ -255,24 +255,24 @@
 	return !r.Close
 }
 
-// waitLast keeps the connection read while its last request is handled, so that
+// watchForClose keeps the connection read while its last request is handled, so that
 // a client that leaves is noticed. It always reports false.
-func (c *conn) waitLast() bool {
+func (c *conn) watchForClose() bool {
 	c.mu.Lock()
-	if c.closed {
+	if c.responsesDone {
 		c.mu.Unlock()
 		return false
 	}
 	_ = c.nc.SetReadDeadline(time.Time{}) // the read tells of the error
 	c.mu.Unlock()
 	if _, err := c.br.Peek(1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.leave()
+		c.clientLeft()
 	}
 	return false
 }
 
-// itsTurn is the turn of a request that nothing is due before.
-var itsTurn = func() chan struct{} {
+// closedTurn is the turn of a request that nothing is due before.
+var closedTurn = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
@@ -281,50 +281,50 @@
 // enqueue adds a request to those due, once there is room and its turn allows. It
 // reports false when the client has left. A request whose reading began before the
 // connection was to end is still taken: the answer before it did not say so.
-func (c *conn) enqueue(e *exchange, ahead bool) bool {
+func (c *conn) enqueue(e *exchange, canPipeline bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	defer func() { c.reading = false }()
-	most := 1
-	if ahead {
-		most = MaxPipelined
+	limit := 1
+	if canPipeline {
+		limit = MaxPipelined
 	}
-	for len(c.due) >= most && !c.gone {
-		c.room.Wait()
+	for len(c.pending) >= limit && !c.clientGone {
+		c.pendingShrank.Wait()
 	}
-	if c.gone {
+	if c.clientGone {
 		return false
 	}
-	e.turn = itsTurn
-	if len(c.due) > 0 {
+	e.turn = closedTurn
+	if len(c.pending) > 0 {
 		e.turn = make(chan struct{})
 	}
-	c.due = append(c.due, e)
-	c.last = c.last || e.req.Close
+	c.pending = append(c.pending, e)
+	c.readsDone = c.readsDone || e.req.Close
 	return true
 }
 
-// answered ends the turn of the oldest request.
-func (c *conn) answered(e *exchange) {
+// finish ends the turn of the oldest request.
+func (c *conn) finish(e *exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.due) == 0 || c.due[0] != e {
+	if len(c.pending) == 0 || c.pending[0] != e {
 		return
 	}
-	c.due = slices.Delete(c.due, 0, 1)
-	if len(c.due) > 0 {
-		close(c.due[0].turn)
+	c.pending = slices.Delete(c.pending, 0, 1)
+	if len(c.pending) > 0 {
+		close(c.pending[0].turn)
 	}
-	c.room.Broadcast()
+	c.pendingShrank.Broadcast()
 }
 
-// closesWith reports whether the answer to e is the last of the connection. Wanted
+// isLastResponse reports whether the answer to e is the last of the connection. Wanted
 // says that the handler or the client asks for that.
-func (c *conn) closesWith(e *exchange, wanted bool) bool {
+func (c *conn) isLastResponse(e *exchange, wanted bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = c.last || wanted || c.s.leaving.Load()
-	return c.last && len(c.due) == 1 && c.due[0] == e && !c.reading
+	c.readsDone = c.readsDone || wanted || c.s.draining.Load()
+	return c.readsDone && len(c.pending) == 1 && c.pending[0] == e && !c.reading
 }
 
 // closeIdle closes the connection if nothing is due on it, and reports whether it
@@ -333,17 +333,17 @@
 func (c *conn) closeIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.due) > 0 || c.reading {
+	if len(c.pending) > 0 || c.reading {
 		return false
 	}
-	if c.waiting && !c.last {
-		if !c.looking {
-			c.looking = true
+	if c.waiting && !c.readsDone {
+		if !c.finalRead {
+			c.finalRead = true
 			_ = c.nc.SetReadDeadline(time.Unix(1, 0)) // an error means that the reader has seen it
 		}
 		return false
 	}
-	c.last = true
+	c.readsDone = true
 	c.nc.Close()
 	return true
 }
--- a/internal/pipeline/end.go
+++ b/internal/pipeline/end.go
@@ -10,41 +10,41 @@
 	"time"
 )
 
-// end answers a request that could not be read, or notes that the client left.
-func (c *conn) end(err error) {
+// handleReadError answers a request that could not be read, or notes that the client left.
+func (c *conn) handleReadError(err error) {
 	var bad *requestError
 	switch {
 	case errors.As(err, &bad) && errors.Is(err, errHeaderTooLarge):
-		c.refuse(http.StatusRequestHeaderFieldsTooLarge)
-	case errors.As(err, &bad) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !isNet(err):
-		c.refuse(http.StatusBadRequest)
+		c.rejectRequest(http.StatusRequestHeaderFieldsTooLarge)
+	case errors.As(err, &bad) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !isNetError(err):
+		c.rejectRequest(http.StatusBadRequest)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		c.mu.Lock()
-		c.last, c.reading = true, false
-		idle := len(c.due) == 0
+		c.readsDone, c.reading = true, false
+		idle := len(c.pending) == 0
 		c.mu.Unlock()
 		if idle {
 			c.abort()
 			return
 		}
 		// Answers are due on a connection on which the client is merely quiet.
-		c.waitLast()
+		c.watchForClose()
 		c.linger()
-	case errors.Is(err, errLast):
-		c.waitLast()
+	case errors.Is(err, errNoFurtherRequest):
+		c.watchForClose()
 		c.linger()
 	default:
-		c.leave()
+		c.clientLeft()
 	}
 }
 
-func isNet(err error) bool {
+func isNetError(err error) bool {
 	var n net.Error
 	return errors.As(err, &n)
 }
 
-// refuse answers a request that could not be read, behind those that are due.
-func (c *conn) refuse(status int) {
+// rejectRequest answers a request that could not be read, behind those that are due.
+func (c *conn) rejectRequest(status int) {
 	r := &http.Request{Method: http.MethodGet, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Header: http.Header{}, Body: http.NoBody, Close: true}
 	e := newExchange(c, r)
@@ -57,11 +57,11 @@
 	c.linger()
 }
 
-// leave ends the work for a client that has left.
-func (c *conn) leave() {
+// clientLeft ends the work for a client that has left.
+func (c *conn) clientLeft() {
 	c.mu.Lock()
-	c.last, c.gone, c.reading = true, true, false
-	c.room.Broadcast()
+	c.readsDone, c.clientGone, c.reading = true, true, false
+	c.pendingShrank.Broadcast()
 	c.mu.Unlock()
 	c.abort()
 }
@@ -70,14 +70,14 @@
 // bytes it still sends do not reset the connection under the answer.
 func (c *conn) linger() {
 	c.mu.Lock()
-	for len(c.due) > 0 && !c.gone {
-		c.room.Wait()
+	for len(c.pending) > 0 && !c.clientGone {
+		c.pendingShrank.Wait()
 	}
 	c.mu.Unlock()
 	if t, ok := c.nc.(*net.TCPConn); ok {
 		_ = t.CloseWrite() // an error means that the client has gone
 	}
-	_ = c.nc.SetReadDeadline(time.Now().Add(lingerFor))
+	_ = c.nc.SetReadDeadline(time.Now().Add(lingerTimeout))
 	_, _ = io.Copy(io.Discard, c.nc)
 	c.abort()
 }
@@ -88,9 +88,9 @@
 	c.nc.Close()
 }
 
-// recovered logs a handler's panic, unless it is the one that breaks an answer
+// logPanic logs a handler's panic, unless it is the one that breaks an answer
 // off on purpose.
-func (c *conn) recovered(v any) {
+func (c *conn) logPanic(v any) {
 	if v != http.ErrAbortHandler {
 		c.s.Log.Error().Interface("panic", v).Bytes("stack", debug.Stack()).Msg("listener: a handler panicked")
 	}
--- a/internal/pipeline/exchange.go
+++ b/internal/pipeline/exchange.go
@@ -25,28 +25,28 @@
 
 	header http.Header
 	status int
-	// held is what the handler wrote before the header was sent.
-	held    bytes.Buffer
-	sent    bool // the header was sent
-	closes  bool // the connection ends with this answer
-	chunked io.WriteCloser
-	// left is how many bytes of the announced length are still to be written;
+	// buffered is what the handler wrote before the header was sent.
+	buffered   bytes.Buffer
+	headerSent bool // the header was sent
+	closesConn bool // the connection ends with this answer
+	chunked    io.WriteCloser
+	// remaining is how many bytes of the announced length are still to be written;
 	// negative when no length was announced.
-	left int64
+	remaining int64
 }
 
 func newExchange(c *conn, r *http.Request) *exchange {
 	e := &exchange{
 		c: c, handler: c.s.Handler, header: make(http.Header),
-		left: -1,
+		remaining: -1,
 	}
 	if r.Body != nil && r.Body != http.NoBody && r.ContentLength != 0 {
 		e.finished = make(chan struct{})
 		e.body = &requestBody{e: e, r: r.Body, done: make(chan struct{})}
-		e.body.expected = r.ProtoAtLeast(1, 1) && strings.EqualFold(r.Header.Get("Expect"), "100-continue")
+		e.body.expectsContinue = r.ProtoAtLeast(1, 1) && strings.EqualFold(r.Header.Get("Expect"), "100-continue")
 		r.Body = e.body
 	}
-	e.req = r.WithContext(c.work)
+	e.req = r.WithContext(c.requestCtx)
 	return e
 }
 
@@ -54,44 +54,44 @@
 
 // run handles the request and sends the answer in its turn.
 func (e *exchange) run() {
-	defer e.c.answered(e)
-	whole := e.handle() || e.standIn()
-	if !whole || !e.await() || !e.complete() {
+	defer e.c.finish(e)
+	complete := e.handle() || e.substituteResponse()
+	if !complete || !e.awaitTurn() || !e.finishResponse() {
 		// Whoever waits behind is answered by nobody on this connection.
-		e.cut()
+		e.breakOff()
 		return
 	}
-	if e.closes {
-		e.c.closing()
+	if e.closesConn {
+		e.c.closeAfterLastResponse()
 	}
 }
 
-// cut ends the connection after an answer that is not whole. Where only the end of
-// the connection would tell the end of the body, a reset tells that it was cut.
-func (e *exchange) cut() {
-	if t, ok := e.c.nc.(*net.TCPConn); ok && e.sent && e.left < 0 && e.chunked == nil {
+// breakOff ends the connection after an answer that is not whole. Where only the end of
+// the connection would tell the end of the body, a reset tells that it was breakOff.
+func (e *exchange) breakOff() {
+	if t, ok := e.c.nc.(*net.TCPConn); ok && e.headerSent && e.remaining < 0 && e.chunked == nil {
 		_ = t.SetLinger(0) // an error means that the connection is gone already
 	}
-	e.c.leave()
+	e.c.clientLeft()
 }
 
 // handle calls the handler, and reports false when the answer was broken off.
-func (e *exchange) handle() (whole bool) {
+func (e *exchange) handle() (complete bool) {
 	if e.finished != nil {
 		defer close(e.finished)
 	}
 	defer func() {
 		if v := recover(); v != nil {
-			e.c.recovered(v)
-			whole = false
+			e.c.logPanic(v)
+			complete = false
 		}
 	}()
 	e.handler.ServeHTTP(e, e.req)
 	return true
 }
 
-// await waits for the answer's turn, and reports false when the client left.
-func (e *exchange) await() bool {
+// awaitTurn waits for the answer's turn, and reports false when the client left.
+func (e *exchange) awaitTurn() bool {
 	select {
 	case <-e.turn:
 		return e.c.ctx.Err() == nil
@@ -100,18 +100,18 @@
 	}
 }
 
-// standIn puts an answer in the place of one that broke off before any of it was
+// substituteResponse puts an answer in the place of one that broke off before any of it was
 // sent, and reports whether it could.
 //
 // It guards the answers behind it. With the connection closed here they would be
 // lost, though backend servers have made them. A request with a body has no such
 // answer: what is left of the body would be read as the next request.
-func (e *exchange) standIn() bool {
-	if e.sent || !e.bodyless() || e.c.ctx.Err() != nil {
+func (e *exchange) substituteResponse() bool {
+	if e.headerSent || !e.bodyless() || e.c.ctx.Err() != nil {
 		return false
 	}
 	e.header = make(http.Header)
-	e.held.Reset()
+	e.buffered.Reset()
 	e.status = http.StatusBadGateway
 	return true
 }
@@ -130,15 +130,15 @@
 // held, up to a bound.
 func (e *exchange) Write(p []byte) (int, error) {
 	e.WriteHeader(http.StatusOK)
-	if !e.sent && e.held.Len()+len(p) <= MaxBufferedResponse && !e.hasTurn() {
-		return e.held.Write(p)
+	if !e.headerSent && e.buffered.Len()+len(p) <= MaxBufferedResponse && !e.hasTurn() {
+		return e.buffered.Write(p)
 	}
-	if !e.await() {
+	if !e.awaitTurn() {
 		return 0, e.c.ctx.Err()
 	}
 	e.c.wmu.Lock()
 	defer e.c.wmu.Unlock()
-	if !e.sent {
+	if !e.headerSent {
 		if err := e.sendHeader(false); err != nil {
 			return 0, err
 		}
@@ -163,7 +163,7 @@
 	e.WriteHeader(http.StatusOK)
 	e.c.wmu.Lock()
 	defer e.c.wmu.Unlock()
-	if !e.sent && e.sendHeader(false) != nil {
+	if !e.headerSent && e.sendHeader(false) != nil {
 		return
 	}
 	_ = e.c.bw.Flush() // the next write tells of the error
@@ -171,21 +171,21 @@
 
 // sendHeader sends the header and what was held. Whole says that the handler
 // writes nothing more.
-func (e *exchange) sendHeader(whole bool) error {
-	e.sent = true
+func (e *exchange) sendHeader(complete bool) error {
+	e.headerSent = true
 	h := e.header
-	e.frame(whole)
+	e.setFraming(complete)
 	wanted := e.req.Close || hasToken(h["Connection"], "close")
 	delete(h, "Connection")
-	if e.closes = e.c.closesWith(e, wanted || e.left < 0 && e.chunked == nil && e.hasBody()); e.closes {
+	if e.closesConn = e.c.isLastResponse(e, wanted || e.remaining < 0 && e.chunked == nil && e.hasBody()); e.closesConn {
 		h["Connection"] = []string{"close"}
 	}
 	w := e.c.bw
 	e.writeStatus(w)
 	_ = h.Write(w)
 	_, _ = w.WriteString("\r\n")
-	_, err := e.send(e.held.Bytes())
-	e.held = bytes.Buffer{}
+	_, err := e.send(e.buffered.Bytes())
+	e.buffered = bytes.Buffer{}
 	return err
 }
 
@@ -205,26 +205,26 @@
 	_, _ = w.Write(line)
 }
 
-// frame decides how the end of the body is told.
-func (e *exchange) frame(whole bool) {
+// setFraming decides how the end of the body is told.
+func (e *exchange) setFraming(complete bool) {
 	h := e.header
 	delete(h, "Transfer-Encoding")
 	if !e.hasBody() {
 		if e.req.Method != http.MethodHead {
 			delete(h, "Content-Length")
 		}
-		e.left = 0
+		e.remaining = 0
 		return
 	}
 	if n, err := strconv.ParseInt(h.Get("Content-Length"), 10, 64); err == nil && n >= 0 {
-		e.left = n
+		e.remaining = n
 		return
 	}
 	delete(h, "Content-Length")
 	switch {
-	case whole && h["Trailer"] == nil:
-		e.left = int64(e.held.Len())
-		h["Content-Length"] = []string{strconv.FormatInt(e.left, 10)}
+	case complete && h["Trailer"] == nil:
+		e.remaining = int64(e.buffered.Len())
+		h["Content-Length"] = []string{strconv.FormatInt(e.remaining, 10)}
 	case e.req.ProtoAtLeast(1, 1):
 		h["Transfer-Encoding"] = []string{"chunked"}
 		e.chunked = httputil.NewChunkedWriter(e.c.bw)
@@ -244,20 +244,20 @@
 		return len(p), nil
 	case e.chunked != nil:
 		return e.chunked.Write(p)
-	case e.left >= 0 && int64(len(p)) > e.left:
+	case e.remaining >= 0 && int64(len(p)) > e.remaining:
 		return 0, http.ErrContentLength
-	case e.left >= 0:
-		e.left -= int64(len(p))
+	case e.remaining >= 0:
+		e.remaining -= int64(len(p))
 	}
 	return e.c.bw.Write(p)
 }
 
-// complete sends what is left of the answer, and reports whether it is whole.
-func (e *exchange) complete() bool {
+// finishResponse sends what is left of the answer, and reports whether it is whole.
+func (e *exchange) finishResponse() bool {
 	e.WriteHeader(http.StatusOK)
 	e.c.wmu.Lock()
 	defer e.c.wmu.Unlock()
-	if !e.sent && e.sendHeader(true) != nil {
+	if !e.headerSent && e.sendHeader(true) != nil {
 		return false
 	}
 	if e.chunked != nil {
@@ -266,7 +266,7 @@
 		}
 	}
 	// An answer that is shorter than announced must not look whole.
-	return e.left <= 0 && e.c.bw.Flush() == nil
+	return e.remaining <= 0 && e.c.bw.Flush() == nil
 }
 
 // writeTrailers ends a chunked body with the trailers that were announced, and
@@ -293,12 +293,12 @@
 	return err
 }
 
-// closing ends the connection after its last answer. Whatever the client sends
+// closeAfterLastResponse ends the connection after its last answer. Whatever the client sends
 // is left to linger.
-func (c *conn) closing() {
+func (c *conn) closeAfterLastResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last, c.closed = true, true
+	c.readsDone, c.responsesDone = true, true
 	// The reader may wait for a next request: it has to see that there is none.
 	_ = c.nc.SetReadDeadline(time.Unix(1, 0)) // an error means that it has seen it
 }
--- a/internal/pipeline/server.go
+++ b/internal/pipeline/server.go
@@ -20,8 +20,8 @@
 	MaxPipelined = 32
 	// MaxBufferedResponse is how many bytes of an answer are held back until its turn.
 	MaxBufferedResponse = 64 << 10
-	// pollEvery is how often Shutdown looks whether connections became idle.
-	pollEvery = 10 * time.Millisecond
+	// pollInterval is how often Shutdown looks whether connections became idle.
+	pollInterval = 10 * time.Millisecond
 )
 
 // Limits bound what a client may send and how long it may take.
@@ -47,8 +47,8 @@
 	// stopping says that no connection is accepted any more but for those that wait, and closed
 	// that those aren't either.
 	stopping, closed bool
-	// leaving ends connections as soon as nothing is due on them.
-	leaving atomic.Bool
+	// draining ends connections as soon as nothing is due on them.
+	draining atomic.Bool
 }
 
 // Serve accepts connections until Shutdown or Close, and then returns
@@ -69,12 +69,12 @@
 		nc, err := l.Accept()
 		switch {
 		case err == nil:
-			s.start(nc)
+			s.startConn(nc)
 		case s.isStopping() && !temporary(err):
 			return http.ErrServerClosed
 		case temporary(err):
 			s.Log.Warn().Err(err).Msg("listener: a connection could not be accepted")
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		default:
 			return err
 		}
@@ -94,7 +94,7 @@
 	return s.stopping
 }
 
-func (s *Server) start(nc net.Conn) {
+func (s *Server) startConn(nc net.Conn) {
 	c := newConn(s, nc)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +106,7 @@
 	go c.serve()
 }
 
-func (s *Server) forget(c *conn) {
+func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
@@ -127,9 +127,9 @@
 // Shutdown stops accepting, and closes each connection once nothing is due on it.
 // It returns when all are closed, or with ctx's error.
 func (s *Server) Shutdown(ctx context.Context) error {
-	s.leaving.Store(true)
+	s.draining.Store(true)
 	s.StopAccepting(ctx)
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for s.closeIdle() > 0 {
 		select {
@@ -152,7 +152,7 @@
 func (s *Server) CancelRequests(ctx context.Context) error {
 	s.mu.Lock()
 	for c := range s.conns {
-		c.stopWork()
+		c.cancelRequests()
 	}
 	s.mu.Unlock()
 	return s.Shutdown(ctx)
--- a/internal/pipeline/server_test.go
+++ b/internal/pipeline/server_test.go
@@ -206,7 +206,7 @@
 	<-began
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Shutdown(context.Background()) }()
-	for !s.leaving.Load() {
+	for !s.draining.Load() {
 		runtime.Gosched()
 	}
 	close(release)
