--- a/internal/once/batcher.go
+++ b/internal/once/batcher.go
@@ -11,33 +11,33 @@
 	"github.com/marlpass/marlpass/internal/platform"
 )
 
-// Bounds on one transaction.
+// Limits of one transaction.
 const (
 	maxBatchRows  = 64
 	maxBatchBytes = 512 << 10
-	// commitTimeout bounds one transaction. A transaction serves many
-	// requests, so no single one's deadline may end it.
+	// commitTimeout bounds one transaction. A transaction carries the writes of many requests, so
+	// no request's deadline may cancel it.
 	commitTimeout = 5 * time.Second
 )
 
-// item is one row to write, on at most one condition on that same row.
+// item is a write to one row, with at most one condition, on that row.
 type item struct {
 	condition *platform.Condition
 	write     platform.Write
-	// urgent items are sent at once when no transaction is under way. The
-	// others wait up to the linger time for one to ride on.
+	// urgent items are sent at once when no transaction is in flight. Other items wait up to the
+	// linger time for a transaction to share.
 	urgent bool
 	result chan error
 }
 
-// batcher writes the items of one node in groups: one transaction is under way
-// at a time, and what comes meanwhile makes up the next.
+// batcher commits the items of one node in groups: one transaction is in flight at a time, and
+// items that arrive meanwhile form the next one.
 type batcher struct {
 	table  platform.Table
 	linger time.Duration
 	writes atomic.Uint64 // transactions sent
-	// unbatched sends each item in a transaction of its own, at once. It is the
-	// baseline that group commit is measured against.
+	// unbatched sends each item at once in its own transaction. Tests use it as the baseline for
+	// group commit.
 	unbatched bool
 
 	mu         sync.Mutex
@@ -50,11 +50,11 @@
 	return &batcher{table: t, linger: linger}
 }
 
-// errNotSent means that the item was withdrawn before it was sent.
-var errNotSent = fmt.Errorf("%w: the caller left before the write was sent", platform.ErrUnavailable)
+// errNotSent is returned for an item that was withdrawn before it was sent.
+var errNotSent = fmt.Errorf("%w: the context ended before the write was sent", platform.ErrUnavailable)
 
-// do writes an item. When ctx ends first, the error is platform.ErrUnavailable
-// if the item was not sent and platform.ErrUnknown if it was.
+// do commits an item. When ctx ends first, the error is platform.ErrUnavailable if the item was
+// not sent and platform.ErrUnknown if it was.
 func (b *batcher) do(ctx context.Context, it *item) error {
 	if ctx.Err() != nil {
 		return errNotSent
@@ -92,7 +92,7 @@
 	return false
 }
 
-// sendIfReady sends what is pending, now or after the linger time. b.mu is held.
+// sendIfReady sends the pending items, at once or after the linger time. b.mu is held.
 func (b *batcher) sendIfReady() {
 	if len(b.pending) == 0 || (b.committing && !b.unbatched) {
 		return
@@ -124,7 +124,7 @@
 	return false
 }
 
-// send starts a transaction with what is pending. b.mu is held.
+// send starts a transaction with the next batch. b.mu is held.
 func (b *batcher) send() {
 	if b.timer != nil {
 		b.timer.Stop()
@@ -141,7 +141,7 @@
 	}()
 }
 
-// nextBatch removes the next batch from pending: each row at most once, because two
+// nextBatch removes the next batch from pending. It holds each row at most once, because two
 // writes to a row in one transaction have no order.
 func (b *batcher) nextBatch() []*item {
 	var batch, rest []*item
@@ -161,8 +161,8 @@
 	return batch
 }
 
-// commit writes the batch. Items whose condition fails are told so and the
-// others are sent again without them, so that one repeat holds up no other.
+// commit writes the batch. Items whose condition fails get the conflict, and the others are sent
+// again without them, so a duplicate request does not delay other requests.
 func (b *batcher) commit(batch []*item) {
 	for len(batch) > 0 {
 		err := b.transact(batch)
@@ -173,7 +173,7 @@
 		}
 		failed, rest := splitConflicting(batch, conflict.Keys)
 		if len(failed) == 0 {
-			deliver(batch, fmt.Errorf("%w: conflict on rows not asked for", platform.ErrUnavailable))
+			deliver(batch, fmt.Errorf("%w: conflict on rows outside the transaction", platform.ErrUnavailable))
 			return
 		}
 		deliver(failed, conflict)
--- a/internal/once/claim.go
+++ b/internal/once/claim.go
@@ -13,28 +13,28 @@
 	"github.com/marlpass/marlpass/internal/wait"
 )
 
-// Bounds on the pauses between attempts at the platform.
+// Bounds of the backoff between attempts to reach the platform.
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// attempt is one request's way to a claim.
+// attempt is the state of one request's attempts to claim its key.
 type attempt struct {
 	d *Deduplicator
 	f *flight
 	r Request
-	// nonce is in every row that this attempt writes.
+	// nonce identifies the rows that this attempt writes.
 	nonce string
-	// leaseStart is when the first write that may stand was sent. The lease
-	// counts from it.
+	// leaseStart is when the first write that may have taken effect was sent. The lease runs from
+	// then.
 	leaseStart time.Time
-	// ambiguous says that a row with the nonce may stand.
+	// ambiguous means that a row with the nonce may exist.
 	ambiguous bool
 	backoff   time.Duration
 }
 
-// claim looks for the outcome of an earlier run, or claims the request.
+// claim returns the outcome of an earlier run, or claims the request.
 func (d *Deduplicator) claim(ctx context.Context, f *flight, r Request) (Decision, error) {
 	a := &attempt{d: d, f: f, r: r, nonce: d.opts.Nonce(), backoff: minBackoff}
 	claimCtx, cancel := a.withClaimTimeout(ctx)
@@ -51,9 +51,8 @@
 				return b, err
 			}
 		case !notWritten(err):
-			// The row may stand and may yet appear. Writing it again
-			// settles it: only one write can meet the condition that
-			// there is no row, and the nonce tells whose it was.
+			// The row may exist or still appear. Writing it again resolves this: only one write
+			// can meet the condition that no row exists, and the nonce identifies its writer.
 			a.ambiguous = true
 		}
 		if claimCtx.Err() != nil || (err != nil && a.failsFast(err)) {
@@ -63,7 +62,7 @@
 	}
 }
 
-// withClaimTimeout limits the attempts for classes that would rather be refused than wait.
+// withClaimTimeout bounds the attempts, except for classes that wait for the platform.
 func (a *attempt) withClaimTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if a.r.StoreDown == config.OnStoreDownWait {
 		return context.WithCancel(ctx)
@@ -71,14 +70,14 @@
 	return context.WithTimeout(ctx, a.d.opts.ClaimTimeout)
 }
 
-// failsFast reports whether err ends the attempts: nothing can stand, and the
-// class does not wait.
+// failsFast reports whether err ends the attempts: no row of this attempt can exist, and the
+// class does not wait for the platform.
 func (a *attempt) failsFast(err error) bool {
 	return notWritten(err) && !a.ambiguous && a.r.StoreDown != config.OnStoreDownWait
 }
 
-// notWritten reports whether err says for certain that nothing was written.
-// Every other error is taken as a lost answer.
+// notWritten reports whether err guarantees that nothing was written. Any other error is treated
+// as a lost response.
 func notWritten(err error) bool {
 	return errors.Is(err, platform.ErrUnavailable) && !errors.Is(err, platform.ErrUnknown)
 }
@@ -111,17 +110,17 @@
 	return Decision{Run: &Claim{d: a.d, f: a.f, r: a.r, row: a.row(), leaseStart: a.leaseStart, localGuard: localGuard}}
 }
 
-// rowStatus is what a row that stands in the way of a claim means.
+// rowStatus classifies the existing row of a key.
 type rowStatus uint8
 
 const (
-	rowPending rowStatus = iota + 1 // another claimant runs it, or may
-	rowGone                         // the row is gone, so the claim may be tried again
-	rowDecided                      // Decision or the error is the answer
+	rowPending rowStatus = iota + 1 // another claimant runs the request, or may do so
+	rowGone                         // the row does not exist, so the claim may be retried
+	rowDecided                      // the Decision or error is final
 )
 
-// awaitOutcome waits for the outcome of the row that stands in the way. Waiting for
-// another's outcome is bounded by the caller's deadline alone.
+// awaitOutcome waits for the outcome of the existing row. Only the caller's deadline bounds the
+// wait for another claimant's outcome.
 func (a *attempt) awaitOutcome(ctx, claimCtx context.Context) (Decision, rowStatus, error) {
 	waitStart := a.d.opts.Now()
 	rowRead := false
@@ -137,8 +136,8 @@
 				return b, v, err
 			}
 		}
-		// That the claim met a row is known, so without a sight of it the
-		// request may have run.
+		// The claim conflicted with a row, so while that row has not been read the request may
+		// have run.
 		neverRead := !rowRead && claimCtx.Err() != nil
 		if ctx.Err() != nil || neverRead {
 			return Decision{Unknown: true}, rowDecided, nil
@@ -168,14 +167,14 @@
 	now := a.d.opts.Now()
 	leaseExpired := existing.Lost || now.Sub(existing.claimedAt()) > a.d.opts.Lease || now.Sub(waitStart) > a.d.opts.Lease
 	if leaseExpired {
-		// The claimant died, or is paused, or could not store the outcome.
-		// It may have run the request, so no one else ever does.
+		// The claimant crashed, is paused or could not store the outcome. It may have run the
+		// request, so no other claimant runs it.
 		return Decision{Unknown: true}, rowDecided, nil
 	}
 	return Decision{}, rowPending, nil
 }
 
-// applyStoreDownRule applies the class's rule when the claim could not be recorded.
+// applyStoreDownRule applies the class's on-store-down rule when the claim could not be recorded.
 func (a *attempt) applyStoreDownRule(ctx context.Context) (Decision, error) {
 	if b, found, err := a.finalRead(ctx); found {
 		return b, err
@@ -184,8 +183,8 @@
 		return b, err
 	}
 	if a.r.StoreDown == config.OnStoreDownLocalGuard && ctx.Err() == nil && a.d.startLocalGuard(a.f) {
-		// If a row of this attempt stands after all, it keeps other nodes
-		// from running the request, which is what it is for.
+		// If a row of this attempt exists after all, it rightly keeps other nodes from running
+		// the request.
 		return a.grant(true), nil
 	}
 	if a.ambiguous {
@@ -197,17 +196,16 @@
 	return Decision{}, refusal(call.ReasonStoreDown, detailStoreDown)
 }
 
-// detailStoreDown says no more than is known: with the table out of reach, no
-// one can tell whether an earlier sending of the same key ran.
+// detailStoreDown makes no claim about earlier sendings: without access to the table it is
+// unknown whether one of them ran.
 const detailStoreDown = "the claim could not be recorded; " +
 	"an earlier sending with the same key may have run, so send again with the same key"
 
-// finalReadTimeout bounds lastLook.
 const finalReadTimeout = 250 * time.Millisecond
 
-// finalRead reads the row once more before the class's rule is applied. A table
-// that takes no writes may still be read, and then a repeat gets the first
-// outcome in place of a refusal or, under a guard, of a second run.
+// finalRead reads the row once more before the class's rule is applied. A table that rejects
+// writes may still be readable; a resend then gets the first outcome instead of a refusal or,
+// under a local guard, a second run.
 func (a *attempt) finalRead(ctx context.Context) (Decision, bool, error) {
 	readCtx, cancel := context.WithTimeout(ctx, finalReadTimeout)
 	defer cancel()
@@ -226,8 +224,8 @@
 	return Decision{}, false, nil
 }
 
-// sleep pauses for an even spread over half to one and a half of a pause that
-// doubles, so that those who wait for one row don't read it in step.
+// sleep waits for a jittered interval, uniform between 0.5 and 1.5 times an exponential backoff,
+// so that requests waiting for the same row do not read it in step.
 func (a *attempt) sleep(ctx context.Context) {
 	d := time.Duration(float64(a.backoff) * (0.5 + rand.Float64()))
 	a.backoff = min(2*a.backoff, maxBackoff)
@@ -242,10 +240,10 @@
 	claimEnded
 )
 
-// ErrClaimEnded means that a claim was finished or abandoned before.
+// ErrClaimEnded is returned for a claim that was already finished, marked lost or abandoned.
 var ErrClaimEnded = errors.New("once: the claim has ended")
 
-// Claim is the right to run one request, once.
+// Claim is the exclusive right to run one request.
 type Claim struct {
 	d          *Deduplicator
 	f          *flight
@@ -258,12 +256,11 @@
 	state claimState
 }
 
-// Started must be called right before the first byte goes to the backend
-// server. It refuses if the lease has lapsed: the claimant may have been paused
-// since its claim, and those who sent the request again may have been told that
-// nothing more would happen. The lease is measured by this process's own
-// monotonic clock from before the claim was written, so a pause anywhere in
-// between counts. After a refusal, call Abandon.
+// Started must be called right before the first byte is sent to the backend server. It refuses if
+// the lease has expired: the claimant may have been paused since its claim, and resends may have
+// been answered that the outcome is unknown. The lease is measured on this process's monotonic
+// clock from before the claim was written, so a pause at any point in between counts. After a
+// refusal, call Abandon.
 func (c *Claim) Started(context.Context) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/once/deduplicator.go
+++ b/internal/once/deduplicator.go
@@ -1,17 +1,16 @@
-// Package once runs a keyed request at most once over its caller's resends.
+// Package once runs a keyed request at most once, however often its caller resends it.
 //
-// The destination node claims a request in the platform's table before the
-// request runs, and stores its outcome there after. A row is made on condition
-// that there is none, so of several nodes that get the same key one claims it.
-// A claim is never taken over: a claimant that died may have run the request,
-// so those who send it again are told that the outcome is unknown. A claim is
-// given up only by its claimant, and only before the request ran.
+// The destination node claims a request in the platform's table before the request runs, and then
+// stores its outcome there. A row is created on condition that none exists, so only one of several
+// nodes that receive the same key claims it. A claim is never taken over: a claimant that crashed
+// may have run the request, so resends get the answer that the outcome is unknown. Only the
+// claimant may abandon a claim, and only before the request runs.
 //
-//	(no row) --claim--> claimed --outcome--> done --Retention--> (no row)
-//	             ^-------- given up, not run --'
+//	(no row) --claim--> claimed --outcome--> done --retention--> (no row)
+//	             ^---- abandoned, not run ----'
 //
-// Claims and outcomes of one node are written in groups, one transaction at a
-// time, because the platform does a few hundred writes a second for everything.
+// The claims and outcomes of one node are committed in groups, one transaction at a time, because
+// the platform handles only a few hundred writes per second in total.
 package once
 
 import (
@@ -35,29 +34,28 @@
 	DefaultMaxLocalKeys = 8192
 )
 
-// Options are what a Deduplicator needs.
+// Options configure a Deduplicator.
 type Options struct {
 	Table  platform.Table
-	Holder string // VM ID of this node; shown to operators
-	// Now is the clock; time.Now when nil. It must carry a monotonic
-	// reading, because the lease is measured by it.
+	Holder string // VM ID of this node, for operators
+	// Now is the clock; nil means time.Now. Its times must carry a monotonic reading, because the
+	// lease is measured with it.
 	Now func() time.Time
-	// Lease is how long after its claim a request may still be started, and
-	// how long after it those who wait for the outcome are told "unknown".
+	// Lease is how long after its claim a request may still be started. After it, requests that
+	// wait for the outcome get "unknown".
 	Lease time.Duration
-	// Retention is how long an outcome is remembered.
+	// Retention is how long an outcome is kept.
 	Retention time.Duration
-	// ClaimTimeout bounds the attempts to claim under the rules refuse and
-	// local-guard.
+	// ClaimTimeout bounds the attempts to claim under the rules refuse and local-guard.
 	ClaimTimeout time.Duration
-	// Linger is how long an outcome may wait for others to share its
-	// transaction. A claim never waits for that.
+	// Linger is how long an outcome may wait to share a transaction. A claim never waits for
+	// this.
 	Linger time.Duration
-	// MaxBody is the largest body that is stored, in bytes.
+	// MaxBody is the largest response body that is stored, in bytes.
 	MaxBody int
-	// MaxLocalKeys bounds the keys that are remembered at this node only.
+	// MaxLocalKeys bounds the keys that only this node keeps in memory.
 	MaxLocalKeys int
-	// Nonce makes a nonce; 128 random bits when nil.
+	// Nonce returns a new nonce; nil means 128 random bits.
 	Nonce func() string
 }
 
@@ -83,32 +81,31 @@
 	}
 }
 
-// Request is one keyed request.
+// Request is one request with an idempotency key.
 type Request struct {
-	// Service is what the key counts in. A class of work would not do: when
-	// an operator changes the classes between a sending and its resend, the
-	// resend would count as new and run a second time.
+	// Service is the namespace of the key. A class would not do: if an operator changed the
+	// classes between a sending and its resend, the resend would count as new and run a second
+	// time.
 	Service string
 	Key     string
-	// Fingerprint is a hash of all that makes the request: method, path and
-	// body. The same key with another fingerprint is refused.
+	// Fingerprint is a hash of method, path and body. The same key with another fingerprint is
+	// refused.
 	Fingerprint [32]byte
-	// StoreDown says what to do when the claim cannot be recorded.
+	// StoreDown is the rule to apply when the claim cannot be recorded.
 	StoreDown config.OnStoreDown
-	// Deadline bounds the waiting; zero means that only the context does.
+	// Deadline bounds the wait; zero means that only the context does.
 	Deadline time.Time
 }
 
-// Decision is what to do with a request. Exactly one of Run, Replay and Unknown is
-// set.
+// Decision says how to handle a request. Exactly one of Run, Replay and Unknown is set.
 type Decision struct {
-	// Run says that this caller is to run the request, under the claim.
+	// Run is the claim under which this caller must run the request.
 	Run *Claim
-	// Replay is the first outcome, to be given again. It is shared and must
-	// not be changed.
+	// Replay is the outcome of the first run, to be returned again. It is shared and must not be
+	// modified.
 	Replay *StoredOutcome
-	// Unknown says that the request was claimed before and may have run, and
-	// that its outcome is not known. It must not be run.
+	// Unknown means that the request was claimed before and may have run, and that its outcome is
+	// not known. It must not be run.
 	Unknown bool
 }
 
@@ -120,23 +117,23 @@
 
 	mu      sync.Mutex
 	flights map[string]*flight // by row key
-	// abandoned are the claims that were given up without a run, whose rows
-	// may still stand because the platform did not confirm the removal.
+	// abandoned holds the claims that were released without a run. Their rows may still exist
+	// because the platform did not confirm the removal.
 	abandoned  map[abandoned]abandonTimes
-	localKeys  int // flights that are kept
-	localBytes int // bodies of those among them that had a row
+	localKeys  int // retained flights
+	localBytes int // body bytes of the retained flights that are not local guards
 	stats      Stats
 }
 
-// Stats counts what a Deduplicator did.
+// Stats holds the counters of a Deduplicator.
 type Stats struct {
-	Claims      uint64 // requests that were claimed to run
+	Claims      uint64 // decisions to run a request
 	Replays     uint64
 	Unknowns    uint64
-	Joins       uint64 // repeats that waited for a run on this node
+	Joins       uint64 // resends that waited for a run on this node
 	Refused     uint64
-	LocalGuards uint64 // requests that ran under a claim of this node only
-	Unstored    uint64 // outcomes that could not be stored
+	LocalGuards uint64 // claims recorded on this node only
+	Unstored    uint64 // outcomes that could not be stored at once
 	Writes      uint64 // transactions sent to the platform
 	LocalKeys   int
 }
@@ -154,7 +151,7 @@
 	return d
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (d *Deduplicator) Stats() Stats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -164,9 +161,8 @@
 	return s
 }
 
-// Begin decides what to do with a request. The error is a *call.Refusal, which
-// means that this request was not run, or the context's error, which means the
-// same.
+// Begin decides how to handle a request. The error is a *call.Refusal or the context's error;
+// both mean that this sending did not run.
 func (d *Deduplicator) Begin(ctx context.Context, r Request) (Decision, error) {
 	if !r.Deadline.IsZero() {
 		var cancel context.CancelFunc
@@ -180,8 +176,7 @@
 	}
 	b, err := d.claim(ctx, f, r)
 	if err != nil || b.Run == nil {
-		// Whatever was found lies in the platform's table; those who
-		// joined look there for themselves.
+		// The row in the table has the result; requests that joined read it there.
 		d.forget(f)
 	}
 	return d.count(b, err)
--- a/internal/once/deduplicator_test.go
+++ b/internal/once/deduplicator_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func node(t *faulty, name string) *Deduplicator { return New(Options{Table: t, Holder: name}) }
+func newNode(t *faultyTable, name string) *Deduplicator { return New(Options{Table: t, Holder: name}) }
 
 func reasonOf(t *testing.T, err error) call.Reason {
 	t.Helper()
@@ -56,32 +56,31 @@
 	}
 }
 
-func bubble(t *testing.T, f func(t *testing.T, table *faulty)) {
+func withFaultyTable(t *testing.T, f func(t *testing.T, table *faultyTable)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f(t, newFaulty())
-		time.Sleep(time.Minute) // lets transactions under way end
+		f(t, newFaultyTable())
+		time.Sleep(time.Minute) // lets transactions in flight end
 	})
 }
 
-// An owner books a haul-out, loses the answer and books again with the same
-// key. The second sending reaches another node while the first still runs. It
-// must wait and get the first booking, not make another.
+// Guards against a second run: a request is resent to another node while the first sending still
+// runs. The resend must wait for the first outcome.
 func TestResendAtAnotherNodeGetsFirstOutcome(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
-		c := mustRun(t, node(table, "vm1"), request(""))
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
+		c := mustRun(t, newNode(table, "vm1"), request(""))
 		go func() {
 			time.Sleep(time.Second)
 			_ = c.Finish(background, StoredOutcome{Status: 201, Body: []byte("berth 7")})
 		}()
-		mustReplay(t, node(table, "vm2"), request(""), "berth 7")
+		mustReplay(t, newNode(table, "vm2"), request(""), "berth 7")
 	})
 }
 
-// The same resend reaches the same node. It must join without the platform.
+// As above at the same node: the resend must join the run without the platform.
 func TestResendAtSameNodeJoins(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
-		d := node(table, "vm1")
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
+		d := newNode(table, "vm1")
 		c := mustRun(t, d, request(""))
 		table.set(faultOutage)
 		go func() {
@@ -94,15 +93,15 @@
 	})
 }
 
-// A caller uses one key for two bookings. The second must be refused, at the
-// node that runs the first and at any other.
-func TestOtherBodyUnderSameKeyIsRefused(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
-		d := node(table, "vm1")
+// Guards against one key for two different requests: the second must be refused, at the node that
+// runs the first and at any other.
+func TestKeyReuseWithOtherBodyIsRefused(t *testing.T) {
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
+		d := newNode(table, "vm1")
 		mustRun(t, d, request(""))
 		other := request("")
 		other.Fingerprint = [32]byte{2}
-		for _, n := range []*Deduplicator{d, node(table, "vm2")} {
+		for _, n := range []*Deduplicator{d, newNode(table, "vm2")} {
 			_, err := n.Begin(background, other)
 			if got := reasonOf(t, err); got != call.ReasonKeyReused {
 				t.Errorf("refused as %q", got)
@@ -111,84 +110,81 @@
 	})
 }
 
-// The platform takes the claim but its answer is lost. The claimant must find
-// out that the row is its own and run, not tell the caller that it is unknown.
-func TestLostAnswerOfClaimIsSettled(t *testing.T) {
+// The platform commits the claim, but its response is lost. The claimant must recognise its own
+// row and run the request instead of answering "unknown".
+func TestLostCommitResponseIsResolved(t *testing.T) {
 	for _, kind := range []faultKind{faultLostAnswer, faultLateWrite} {
-		bubble(t, func(t *testing.T, table *faulty) {
+		withFaultyTable(t, func(t *testing.T, table *faultyTable) {
 			table.set(kind)
 			time.AfterFunc(100*time.Millisecond, func() { table.set(faultNone) })
-			c := mustRun(t, node(table, "vm1"), request(""))
+			c := mustRun(t, newNode(table, "vm1"), request(""))
 			if err := c.Finish(background, StoredOutcome{Status: 201, Body: []byte("once")}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(lateBy)
-			mustReplay(t, node(table, "vm2"), request(""), "once")
+			mustReplay(t, newNode(table, "vm2"), request(""), "once")
 		})
 	}
 }
 
-// A claimant dies with its VM while the booking runs. Its resends must be told
-// that the outcome is unknown, however long after, and never run it.
-func TestDeadClaimantMeansUnknown(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
-		c := mustRun(t, node(table, "vm1"), request(""))
+// A claimant crashes with its VM during the run. Resends must get "unknown", however late, and
+// must never run the request.
+func TestCrashedClaimantMeansUnknown(t *testing.T) {
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
+		c := mustRun(t, newNode(table, "vm1"), request(""))
 		if err := c.Started(background); err != nil {
 			t.Fatal(err)
 		}
-		mustUnknown(t, node(table, "vm2"), request(""))
+		mustUnknown(t, newNode(table, "vm2"), request(""))
 		time.Sleep(time.Hour)
-		mustUnknown(t, node(table, "vm2"), request(""))
+		mustUnknown(t, newNode(table, "vm2"), request(""))
 	})
 }
 
-// A backend server dies while it runs a booking. Resends, at this node and at
-// others, must be told at once that the outcome is unknown and never run it;
-// under the local guard too, where this node's memory is all there is.
+// A backend server crashes during the run. Resends must get "unknown" at once, on every node, and
+// never run the request; under a local guard too, where only this node's memory has the run.
 func TestLostRunMeansUnknownAtOnce(t *testing.T) {
 	for _, kind := range []faultKind{faultNone, faultOutage} {
-		bubble(t, func(t *testing.T, table *faulty) {
+		withFaultyTable(t, func(t *testing.T, table *faultyTable) {
 			table.set(kind)
-			d := node(table, "vm1")
+			d := newNode(table, "vm1")
 			if err := mustRun(t, d, request(config.OnStoreDownLocalGuard)).Lost(background); err != nil {
 				t.Fatal(err)
 			}
 			start := time.Now()
 			mustUnknown(t, d, request(config.OnStoreDownLocalGuard))
 			if kind == faultNone {
-				mustUnknown(t, node(table, "vm2"), request(""))
+				mustUnknown(t, newNode(table, "vm2"), request(""))
 			}
 			if took := time.Since(start); took > time.Second {
-				t.Errorf("told after %v", took)
+				t.Errorf("got unknown after %v", took)
 			}
 		})
 	}
 }
 
-// A claimant is paused for longer than its lease between its claim and the
-// run. Its resend has been told "unknown" and the clerk has looked and entered
-// the price anew. When the claimant wakes, it must not run the request.
+// A claimant is paused past its lease between the claim and the run, and its resend got
+// "unknown". When it resumes, it must not run the request.
 func TestPausedClaimantDoesNotRun(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
-		c := mustRun(t, node(table, "vm1"), request(""))
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
+		c := mustRun(t, newNode(table, "vm1"), request(""))
 		time.Sleep(DefaultLease)
-		mustUnknown(t, node(table, "vm2"), request(""))
+		mustUnknown(t, newNode(table, "vm2"), request(""))
 		if got := reasonOf(t, c.Started(background)); got != call.ReasonExpired {
 			t.Errorf("refused as %q", got)
 		}
 	})
 }
 
-// The backend server refuses a booking without running it. The claim is given
-// up, and the resend must run; also when the platform did not take the removal
-// and the resend reaches the same node.
+// The backend server refuses a request without running it, and the claim is abandoned. The resend
+// must run, also if the platform rejected the removal and the resend reaches the same node.
 func TestAbandonedClaimMayRunAgain(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
-		d := node(table, "vm1")
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
+		d := newNode(table, "vm1")
 		if err := mustRun(t, d, request("")).Abandon(background); err != nil {
 			t.Fatal(err)
 		}
-		c := mustRun(t, node(table, "vm2"), request(""))
+		c := mustRun(t, newNode(table, "vm2"), request(""))
 		if err := c.Abandon(background); err != nil {
 			t.Fatal(err)
 		}
@@ -198,42 +194,41 @@
 			t.Fatal("Abandon succeeded in an outage")
 		}
 		table.set(faultNone)
-		mustUnknownSoon := request("")
-		mustUnknown(t, node(table, "vm2"), mustUnknownSoon)
+		resend := request("")
+		mustUnknown(t, newNode(table, "vm2"), resend)
 		mustRun(t, d, request(""))
 	})
 }
 
-// The platform is down. A class that refuses must be told so at once; one that
-// waits must get its claim when the platform is back within the deadline, and
-// a refusal as not run when it is not.
+// The platform is down. A class that refuses must be refused at once; one that waits must get its
+// claim if the platform returns within the deadline, else a refusal as not run.
 func TestRulesWhenPlatformIsDown(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
 		table.set(faultOutage)
 		start := time.Now()
-		_, err := node(table, "vm1").Begin(background, request(config.OnStoreDownRefuse))
+		_, err := newNode(table, "vm1").Begin(background, request(config.OnStoreDownRefuse))
 		if got := reasonOf(t, err); got != call.ReasonStoreDown {
 			t.Errorf("refused as %q", got)
 		}
 		if took := time.Since(start); took > 100*time.Millisecond {
 			t.Errorf("refused after %v, want at once", took)
 		}
-		_, err = node(table, "vm1").Begin(background, request(config.OnStoreDownWait))
+		_, err = newNode(table, "vm1").Begin(background, request(config.OnStoreDownWait))
 		if got := reasonOf(t, err); got != call.ReasonStoreDown {
 			t.Errorf("refused as %q", got)
 		}
 		time.AfterFunc(3*time.Second, func() { table.set(faultNone) })
-		mustRun(t, node(table, "vm1"), request(config.OnStoreDownWait))
+		mustRun(t, newNode(table, "vm1"), request(config.OnStoreDownWait))
 	})
 }
 
-// Under the local guard a booking runs while the platform is down. A resend at
-// the same node must get its outcome, before and after the platform is back,
-// and after Flush so must one at another node.
+// A request runs under the local guard while the platform is down. A resend to the same node must
+// get its outcome, before and after the platform returns; after Flush, so must one to another
+// node.
 func TestLocalGuard(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
 		table.set(faultOutage)
-		d := node(table, "vm1")
+		d := newNode(table, "vm1")
 		c := mustRun(t, d, request(config.OnStoreDownLocalGuard))
 		ctx, cancel := context.WithTimeout(background, time.Second)
 		defer cancel()
@@ -246,19 +241,19 @@
 		if err := d.Flush(background); err != nil {
 			t.Fatal(err)
 		}
-		mustReplay(t, node(table, "vm2"), request(""), "berth 7")
+		mustReplay(t, newNode(table, "vm2"), request(""), "berth 7")
 		if got := d.Stats().LocalKeys; got != 0 {
-			t.Errorf("%d guards held after Flush", got)
+			t.Errorf("%d local keys left after Flush", got)
 		}
 	})
 }
 
-// A booking under the local guard runs and is recorded. Then the platform goes
-// down, and the booking is sent again to the same node, which can't read the
-// row. It must give the outcome from memory, not run the booking again.
-func TestGuardRemembersRecordedRuns(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
-		d := node(table, "vm1")
+// Guards against a second run: a request under the local guard is recorded, the platform goes
+// down, and a resend reaches the same node, which cannot read the row. It must return the outcome
+// from memory.
+func TestLocalGuardRemembersRecordedRuns(t *testing.T) {
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
+		d := newNode(table, "vm1")
 		c := mustRun(t, d, request(config.OnStoreDownLocalGuard))
 		if err := c.Finish(background, StoredOutcome{Status: 201, Body: []byte("berth 7")}); err != nil {
 			t.Fatal(err)
@@ -268,27 +263,26 @@
 	})
 }
 
-// The platform takes no writes but can be read. A resend under the local guard
-// reaches another node than the first, which has the outcome stored. It must
-// get that outcome; running it would be a double.
-func TestGuardLooksBeforeItRuns(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
-		c := mustRun(t, node(table, "vm1"), request(""))
+// Guards against a second run: the platform rejects writes but can be read, and a resend under
+// the local guard reaches a node other than the first. It must get the stored outcome.
+func TestLocalGuardReadsBeforeRunning(t *testing.T) {
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
+		c := mustRun(t, newNode(table, "vm1"), request(""))
 		if err := c.Finish(background, StoredOutcome{Status: 201, Body: []byte("berth 7")}); err != nil {
 			t.Fatal(err)
 		}
 		table.set(faultWritesOnly)
-		mustReplay(t, node(table, "vm2"), request(config.OnStoreDownLocalGuard), "berth 7")
+		mustReplay(t, newNode(table, "vm2"), request(config.OnStoreDownLocalGuard), "berth 7")
 	})
 }
 
 func TestLargeBodyIsNotStored(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
-		c := mustRun(t, node(table, "vm1"), request(""))
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
+		c := mustRun(t, newNode(table, "vm1"), request(""))
 		if err := c.Finish(background, StoredOutcome{Status: 200, Body: make([]byte, DefaultMaxBody+1)}); err != nil {
 			t.Fatal(err)
 		}
-		b, err := node(table, "vm2").Begin(background, request(""))
+		b, err := newNode(table, "vm2").Begin(background, request(""))
 		if err != nil || b.Replay == nil || !b.Replay.Truncated || b.Replay.Body != nil {
 			t.Errorf("Begin = %+v, %v; want a truncated outcome", b, err)
 		}
@@ -296,8 +290,8 @@
 }
 
 func TestTrimRemovesOldRowsInSteps(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
-		d := node(table, "vm1")
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
+		d := newNode(table, "vm1")
 		for _, key := range []string{"1", "2", "3", "4", "5"} {
 			r := request("")
 			r.Key = key
@@ -325,14 +319,13 @@
 	})
 }
 
-// The platform is slow and its answers are lost. A clerk's submission is
-// refused as "store-down", and so is its resend; neither ran. The first claim
-// shows after the second was given up. The clerk sends again when the platform
-// is back, and the submission must run, not be called unknown for a day.
-func TestEveryGivenUpClaimIsRemembered(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
+// Guards against "unknown" for a request that never ran: it and its resend are refused as
+// "store-down" while responses are lost, and the first claim's row appears after the second claim
+// was abandoned. A later resend must run.
+func TestEveryAbandonedClaimIsRemembered(t *testing.T) {
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
 		table.set(faultLateWrite)
-		d := node(table, "vm1")
+		d := newNode(table, "vm1")
 		for range 2 {
 			r := request(config.OnStoreDownRefuse)
 			r.Deadline = time.Now().Add(lateBy / 3)
--- a/internal/once/fake_test.go
+++ b/internal/once/fake_test.go
@@ -19,18 +19,18 @@
 
 const (
 	faultNone       faultKind = iota
-	faultOutage               // nothing takes effect, reads fail too
-	faultWritesOnly           // nothing takes effect, reads work
-	faultLostAnswer           // takes effect, the answer is lost
-	faultLateWrite            // takes effect a while after its answer was lost
-	faultStaleRead            // reads find nothing
+	faultOutage               // writes and reads fail without effect
+	faultWritesOnly           // writes fail without effect, reads work
+	faultLostAnswer           // the write takes effect, its response is lost
+	faultLateWrite            // the write takes effect lateBy after its lost response
+	faultStaleRead            // reads find no row
 )
 
 const lateBy = 300 * time.Millisecond
 
-// faulty is a table with faults, which also checks that no stored outcome is
-// ever replaced by another.
-type faulty struct {
+// faultyTable is a table that injects faults. It also checks that no stored outcome is ever
+// replaced.
+type faultyTable struct {
 	*memory.Store
 	latency time.Duration
 
@@ -40,21 +40,23 @@
 	violation string
 }
 
-func newFaulty() *faulty { return &faulty{Store: memory.New(), latency: 5 * time.Millisecond} }
+func newFaultyTable() *faultyTable {
+	return &faultyTable{Store: memory.New(), latency: 5 * time.Millisecond}
+}
 
-func (f *faulty) set(k faultKind) {
+func (f *faultyTable) set(k faultKind) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.kind = k
 }
 
-func (f *faulty) fault() faultKind {
+func (f *faultyTable) fault() faultKind {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.kind
 }
 
-func (f *faulty) Get(ctx context.Context, key string) (platform.Row, error) {
+func (f *faultyTable) Get(ctx context.Context, key string) (platform.Row, error) {
 	time.Sleep(f.latency)
 	switch f.fault() {
 	case faultOutage:
@@ -65,7 +67,7 @@
 	return f.Store.Get(ctx, key)
 }
 
-func (f *faulty) Commit(ctx context.Context, t platform.Txn) error {
+func (f *faultyTable) Commit(ctx context.Context, t platform.Txn) error {
 	time.Sleep(f.latency)
 	f.mu.Lock()
 	f.commits++
@@ -83,7 +85,7 @@
 	return f.apply(ctx, t)
 }
 
-func (f *faulty) apply(ctx context.Context, t platform.Txn) error {
+func (f *faultyTable) apply(ctx context.Context, t platform.Txn) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := make(map[string]row)
@@ -109,7 +111,7 @@
 	return nil
 }
 
-func (f *faulty) writes() int {
+func (f *faultyTable) writes() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.commits
--- a/internal/once/finish.go
+++ b/internal/once/finish.go
@@ -9,10 +9,9 @@
 	"github.com/marlpass/marlpass/internal/platform"
 )
 
-// Finish stores the outcome of the run. Those who joined on this node get it at
-// once. It keeps trying until ctx ends; after that the outcome is remembered at
-// this node, and Flush tries again. Finish is meant to be called after the
-// answer went to the caller, with a context of its own.
+// Finish stores the outcome of the run. Requests that joined on this node get it at once. Finish
+// retries until ctx ends; after that this node keeps the outcome and Flush retries. Call it after
+// the response was sent to the caller, with a separate context.
 func (c *Claim) Finish(ctx context.Context, s StoredOutcome) error {
 	if err := c.end(); err != nil {
 		return err
@@ -31,7 +30,7 @@
 	return nil
 }
 
-// forgetFlight forgets the flight of a run that the table knows of.
+// forgetFlight removes the flight of a run that is recorded in the table.
 func (c *Claim) forgetFlight(s *StoredOutcome) {
 	if c.r.StoreDown == config.OnStoreDownLocalGuard {
 		c.d.recent.add(c.f.key, c.r.Fingerprint, s)
@@ -39,11 +38,11 @@
 	c.d.forget(c.f)
 }
 
-// Lost ends the claim of a run whose outcome is not known, because the backend
-// server died or the connection broke after the first byte. Repeats are told
-// "unknown", and the request never runs again. A guard stays remembered here; a
-// claim has its row, which tells the other nodes not to wait for the lease. If
-// that write fails, they wait and are told the same.
+// Lost ends the claim of a run whose outcome is unknown, because the backend server crashed or
+// the connection broke after the first byte. Resends get "unknown", and the request never runs
+// again. A local guard stays in this node's memory. Otherwise the row is marked, so that other
+// nodes do not wait for the lease; if that write fails, they wait for it and then answer the
+// same.
 func (c *Claim) Lost(ctx context.Context) error {
 	if err := c.end(); err != nil {
 		return err
@@ -61,27 +60,25 @@
 	return err
 }
 
-// Abandon gives the claim up after a run that is proved not to have happened,
-// so that the caller may send the request again. If the platform does not
-// confirm it, a resend that reaches this node may run, and one that reaches
-// another is told "unknown" until Flush succeeds.
+// Abandon releases the claim of a request that certainly did not run, so that the caller may
+// resend it. If the platform does not confirm the removal, a resend to this node may run, and a
+// resend to another node gets "unknown" until Flush succeeds.
 func (c *Claim) Abandon(ctx context.Context) error {
 	if err := c.end(); err != nil {
 		return err
 	}
-	// Remembered before anything is sent: a resend may meet the row while
-	// its removal is under way.
+	// Recorded before the removal is sent: a resend may read the row while the removal is in
+	// flight.
 	c.d.abandon(c.f.key, c.row.Nonce)
 	err := c.d.removeClaim(ctx, c.f.key, c.row.Nonce)
 	c.d.forget(c.f)
 	return err
 }
 
-// store writes an outcome until it is confirmed or ctx ends. A row of a claim
-// that is held is written without a condition: only the holder of the nonce
-// writes to it until it has an outcome, and writing the same outcome twice is
-// harmless, so a write whose answer was lost is simply sent again. A guard has
-// no row of its own for certain and must not replace another's.
+// store writes an outcome until it is confirmed or ctx ends. The row of a claim in the table is
+// written without a condition: only the holder of the nonce writes to it until it has an outcome,
+// and writing the same outcome twice is harmless, so a write whose response was lost is repeated.
+// A local guard may have no row of its own and must not replace another claimant's.
 func (d *Deduplicator) store(ctx context.Context, key string, u *unstoredOutcome, localGuard bool) error {
 	value, err := u.row.encode()
 	if err != nil {
@@ -112,12 +109,11 @@
 	}
 }
 
-// errOtherClaimant means that another claimant holds the row of a guard's key: both
-// ran the request, which is what a guard cannot rule out.
+// errOtherClaimant means that another claimant holds the row of a locally guarded key. Both ran
+// the request, which a local guard cannot rule out.
 var errOtherClaimant = errors.New("once: another claimant holds the row")
 
-// errAlreadyStored means that a write of the outcome took effect though its answer was
-// lost.
+// errAlreadyStored means that a write of the outcome took effect although its response was lost.
 var errAlreadyStored = errors.New("once: the outcome is stored")
 
 func (d *Deduplicator) localGuardCondition(ctx context.Context, key, nonce string) (*platform.Condition, error) {
@@ -139,18 +135,18 @@
 }
 
 const (
-	// maxLocalBody is the largest body that a guard remembers, so that
-	// MaxLocalKeys outcomes fit its memory.
+	// maxLocalBody is the largest body kept for a local guard, in bytes. It bounds the memory of
+	// MaxLocalKeys outcomes.
 	maxLocalBody = 1 << 10
-	// maxLocalBytes bounds the bodies of other outcomes that wait to be stored.
+	// maxLocalBytes bounds the total size of the bodies of other outcomes that wait to be stored.
 	maxLocalBytes = 8 << 20
 )
 
-// retainOutcome keeps the outcome at this node because the platform does not have
-// it. Without room the outcome is dropped, and repeats are told "unknown" by
-// the claim row. A guard always has room, because it took it before the run,
-// but loses a large body. The body of another outcome is kept whole: a write of
-// it may still be under way, and the row must not end up with either of two.
+// retainOutcome keeps the outcome on this node because the platform does not have it. Over the
+// limit the outcome is dropped, and resends get "unknown" from the claim row. A local guard took
+// its place before the run and is never dropped, but loses a large body. The body of any other
+// outcome is kept whole: a write of it may be in flight, and the row must not end up with one of
+// two versions.
 func (d *Deduplicator) retainOutcome(f *flight, u *unstoredOutcome, localGuard bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -172,7 +168,7 @@
 	f.unstored = u
 }
 
-// startLocalGuard takes room to remember f at this node only.
+// startLocalGuard records the claim of f on this node only. It reports false over MaxLocalKeys.
 func (d *Deduplicator) startLocalGuard(f *flight) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -184,7 +180,7 @@
 	return true
 }
 
-// retain marks f as remembered. d.mu is held.
+// retain marks f as kept on this node. d.mu is held.
 func (d *Deduplicator) retain(f *flight) {
 	if !f.retained {
 		f.retained = true
@@ -196,7 +192,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.abandoned) >= d.opts.MaxLocalKeys {
-		// Dropping one costs its caller an "unknown" in place of a run.
+		// The caller of the dropped claim may get "unknown" instead of a run.
 		for other := range d.abandoned {
 			delete(d.abandoned, other)
 			break
@@ -205,12 +201,12 @@
 	d.abandoned[abandoned{key, nonce}] = abandonTimes{since: d.opts.Now()}
 }
 
-// abandoned names a claim that was given up without a run. A key may have several:
-// each sending of a request that is refused while answers of the platform get
-// lost leaves one, and the row of any may be the one that stands.
+// abandoned identifies a claim that was released without a run. A key may have several: each
+// sending that is refused while the platform's responses get lost leaves one, and any of them may
+// own the row.
 type abandoned struct{ key, nonce string }
 
-// abandonTimes is when a claim was given up and when its row is looked for next.
+// abandonTimes holds when a claim was abandoned and when its row is checked next.
 type abandonTimes struct{ since, nextCheck time.Time }
 
 func (d *Deduplicator) wasAbandoned(key, nonce string) bool {
@@ -220,12 +216,12 @@
 	return ok
 }
 
-// removeClaim removes the row of a claim that was given up, if it stands.
+// removeClaim removes the row of an abandoned claim, if it exists.
 func (d *Deduplicator) removeClaim(ctx context.Context, key, nonce string) error {
 	got, err := d.opts.Table.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
-		// The row may yet appear if its write is under way, or this read
-		// is stale. It stays in released and Flush looks again.
+		// The row may still appear if its write is in flight or this read is stale. The claim
+		// stays in abandoned, and Flush checks again.
 		return nil
 	}
 	if err != nil {
@@ -240,8 +236,8 @@
 		return nil
 	}
 	if existing.Nonce != nonce {
-		// Another claim was first. Should that one be given up too, the
-		// write of this one, still under way, would meet no row.
+		// Another claim holds the row. If that one is abandoned too, an in-flight write of this
+		// claim would find no row, so this claim stays recorded.
 		return nil
 	}
 	return d.removeRow(ctx, got)
--- a/internal/once/flight.go
+++ b/internal/once/flight.go
@@ -11,20 +11,20 @@
 // errDeadline is the cause of a context that ended at Request.Deadline.
 var errDeadline = errors.New("once: the deadline of the request passed")
 
-// flight is a request in hand at this node, so that repeats that reach the same
-// node wait for it without asking the platform.
+// flight is a request in progress on this node. Resends that reach the same node wait for it
+// without reading the platform.
 type flight struct {
 	key         string
 	fingerprint [32]byte
 	since       time.Time
-	// done is closed once the run is over for those who joined.
+	// done is closed when requests that joined need not wait any longer.
 	done chan struct{}
-	// outcome is set before done is closed; nil means that those who joined
-	// must look again.
+	// outcome is set before done is closed; nil means that requests that joined must begin again,
+	// unless lost is set.
 	outcome *StoredOutcome
-	lost    bool // the outcome never will be known
-	// retained says that the outcome, or the fact of the run, is remembered here
-	// because the platform does not have it. unsaved is what it should have.
+	lost    bool // the outcome will never be known
+	// retained means that the outcome, or the fact of the run, is kept here because the platform
+	// does not have it. unstored is the outcome to store.
 	retained bool
 	unstored *unstoredOutcome
 	bytes    int // counted in Deduplicator.heldBytes
@@ -36,7 +36,7 @@
 	row   row
 }
 
-// flightFor returns the flight of the key and whether the caller is its first.
+// flightFor returns the flight of the key and whether this call created it.
 func (d *Deduplicator) flightFor(key string, r Request) (*flight, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -48,14 +48,14 @@
 	return f, true
 }
 
-// forget forgets a flight that ended without an outcome at this node.
+// forget removes a flight and wakes the requests that joined it.
 func (d *Deduplicator) forget(f *flight) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.forgetLocked(f)
 }
 
-// forgetLocked forgets a flight. d.mu is held.
+// forgetLocked is forget with d.mu held.
 func (d *Deduplicator) forgetLocked(f *flight) {
 	if d.flights[f.key] != f {
 		return
@@ -68,8 +68,7 @@
 	closeOnce(f.done)
 }
 
-// publish gives the outcome, or that there is none to be known, to those who
-// joined.
+// publish passes the outcome, or the fact that it is lost, to the requests that joined.
 func (d *Deduplicator) publish(f *flight, s *StoredOutcome, lost bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/once/upkeep.go
+++ b/internal/once/flush.go
@@ -11,18 +11,16 @@
 	"github.com/marlpass/marlpass/internal/platform"
 )
 
-// abandonedRetention is how long a given-up claim is remembered after its removal
-// seemed done. A write that was under way, or hidden by a stale read, must have
-// shown by then.
+// abandonedRetention is how long an abandoned claim is remembered. A write that was in flight, or
+// hidden by a stale read, must have appeared by then.
 const abandonedRetention = 10 * time.Minute
 
-// flushTimeout bounds one Flush, so that a caller with other work to do between
-// two of them is not held up while the platform is down. A slow transaction
-// fits in it.
+// flushTimeout bounds one Flush, so that a caller with other work is not held up while the
+// platform is down. A slow transaction fits in it.
 const flushTimeout = 2 * commitTimeout
 
-// Flush tries again to store the outcomes that the platform does not have and
-// to remove the claims that were given up. Call it every few seconds.
+// Flush retries to store the outcomes that the platform does not have and to remove the rows of
+// abandoned claims. Call it every few seconds.
 func (d *Deduplicator) Flush(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
@@ -31,11 +29,11 @@
 	return err
 }
 
-// flushOutcomes stores as many outcomes at a time as share a transaction.
+// flushOutcomes stores up to maxBatchRows outcomes concurrently, so that they share transactions.
 //
-// It guards against second runs after an outage. What this node alone remembers
-// dies with its VM; stored one after another, each waiting for others to share
-// its transaction, most of it would be lost in a planned stop.
+// Outcomes that only this node holds are lost with its VM, and their resends would run a second
+// time. Stored one by one, each after its own linger time, most would be lost in a planned stop
+// after an outage.
 func (d *Deduplicator) flushOutcomes(ctx context.Context) error {
 	var g errgroup.Group
 	g.SetLimit(maxBatchRows)
@@ -76,9 +74,9 @@
 	return errors.Join(errs...)
 }
 
-// scheduleNextCheck notes that no row of a given-up claim stands now. The next look comes
-// after as long again: looking at every Flush, the nodes of the mesh would read
-// the claims of one outage more often than the platform can answer.
+// scheduleNextCheck records that no row of an abandoned claim exists now. The interval between
+// checks doubles: with a check on every Flush, the nodes of the mesh would read the claims of one
+// outage more often than the platform can answer.
 func (d *Deduplicator) scheduleNextCheck(now time.Time, r abandoned) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,7 +111,7 @@
 	return maps.Clone(d.abandoned)
 }
 
-// forgetExpired forgets what is older than Retention.
+// forgetExpired removes retained flights older than Retention.
 func (d *Deduplicator) forgetExpired() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,10 +123,9 @@
 	}
 }
 
-// Trim removes up to limit rows older than Retention that follow after in key order,
-// in one scan and at most two transactions. It returns where to go on, which is
-// empty at the end of the table. One node at a time should call it, at a slow
-// pace; two that do only meet conflicts.
+// Trim removes up to limit rows older than Retention whose keys follow after, in one scan and at
+// most two transactions. It returns the key to continue from, which is empty at the end of the
+// table. One node at a time should call it, at a slow pace; concurrent calls only conflict.
 func (d *Deduplicator) Trim(ctx context.Context, after string, limit int) (next string, removed int, err error) {
 	rows, err := d.opts.Table.Scan(ctx, platform.OncePrefix, after, limit)
 	if err != nil {
--- a/internal/once/upkeep_test.go
+++ b/internal/once/flush_test.go
@@ -10,15 +10,14 @@
 	"github.com/marlpass/marlpass/internal/platform"
 )
 
-// In an outage a node runs many bookings under the local guard. The platform
-// comes back, and the VM is replaced on plan a moment later. The outcomes were
-// stored one by one, each after its own linger, so most were gone with the VM,
-// and their resends ran a second time at other nodes.
-func TestFlushStoresManyOutcomesBeforeAStop(t *testing.T) {
+// Guards against lost outcomes: after an outage, a planned stop begins while a node still holds
+// many locally guarded outcomes. They were stored one by one, each after its own linger time, so
+// most were lost with the VM and their resends ran a second time at other nodes.
+func TestFlushSharesTransactions(t *testing.T) {
 	const bookings = 300
-	bubble(t, func(t *testing.T, table *faulty) {
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
 		table.set(faultOutage)
-		d := node(table, "vm1")
+		d := newNode(table, "vm1")
 		keyed := func(i int) Request {
 			r := request(config.OnStoreDownLocalGuard)
 			r.Key = strconv.Itoa(i)
@@ -39,7 +38,7 @@
 			t.Errorf("Flush: %v", err)
 		}
 		after := table.writes()
-		other := node(table, "vm2")
+		other := newNode(table, "vm2")
 		for i := range bookings {
 			mustReplay(t, other, keyed(i), "berth")
 		}
@@ -50,12 +49,12 @@
 	})
 }
 
-// While the platform is down a node cannot store an outcome. Its upkeep, which
-// also tells other nodes of lifted quarantines, must not stand still for that.
+// Guards against a blocked maintenance loop: while the platform is down, Flush must return,
+// because its caller has other work.
 func TestFlushEndsInAnOutage(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
 		table.set(faultOutage)
-		d := node(table, "vm1")
+		d := newNode(table, "vm1")
 		c := mustRun(t, d, request(config.OnStoreDownLocalGuard))
 		ended, cancel := context.WithCancel(background)
 		cancel()
@@ -63,7 +62,7 @@
 		watchdog, stop := context.WithTimeout(background, time.Hour)
 		defer stop()
 		if err := d.Flush(watchdog); err == nil || watchdog.Err() != nil {
-			t.Errorf("Flush: %v, and the hour is over: %v", err, watchdog.Err() != nil)
+			t.Errorf("Flush: %v, watchdog expired: %v", err, watchdog.Err() != nil)
 		}
 	})
 }
@@ -79,11 +78,10 @@
 	return c.Table.Get(ctx, key)
 }
 
-// The platform loses answers for a minute, and thousands of claims are given
-// up. It comes back, and every node reads each of them every two seconds for
-// ten minutes: more reads than the platform does, in the moment of its return.
-func TestGivenUpClaimsAreReadSeldom(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
+// Guards against read load after an outage: with thousands of abandoned claims, every node read
+// each of them every two seconds for ten minutes, more than the platform can answer.
+func TestAbandonedClaimsAreReadRarely(t *testing.T) {
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
 		c := &readCounter{Table: table}
 		d := New(Options{Table: c, Holder: "vm1"})
 		if err := mustRun(t, d, request("")).Abandon(background); err != nil {
--- a/internal/once/group_test.go
+++ b/internal/once/group_test.go
@@ -8,10 +8,9 @@
 	"time"
 )
 
-// TestGroupCommitFigures prints what group commit saves. For each rate of keyed
-// requests over a service's nine endpoints, it counts the transactions per
-// request and measures how long a claim takes, in fake time, with a platform
-// that takes 8 ms for a transaction.
+// TestGroupCommitFigures prints what group commit saves. For each rate of keyed requests over
+// nine endpoints of a service, it counts the transactions per request and measures the duration
+// of a claim, in fake time, with a platform that takes 8 ms per transaction.
 //
 //	go test ./internal/once -run GroupCommitFigures -v
 func TestGroupCommitFigures(t *testing.T) {
@@ -23,7 +22,7 @@
 			t.Logf("%d nodes, %3d claims/s: writes/claim one-by-one %.2f, grouped without linger %.2f, grouped %.2f; claim mean %v, %v, %v",
 				nodes, rate, single.writes, noLinger.writes, grouped.writes, single.claim, noLinger.claim, grouped.claim)
 			if grouped.writes > single.writes {
-				t.Errorf("%d nodes, %d claims/s: grouping costs writes", nodes, rate)
+				t.Errorf("%d nodes, %d claims/s: group commit takes more writes", nodes, rate)
 			}
 		}
 	}
@@ -38,14 +37,14 @@
 
 func measureClaims(t *testing.T, nodes, rate int, linger time.Duration, unbatched bool) (out claimFigures) {
 	synctest.Test(t, func(t *testing.T) {
-		table := newFaulty()
+		table := newFaultyTable()
 		table.latency = platformLatency
-		var keepers []*Deduplicator
+		var deduplicators []*Deduplicator
 		for i := range nodes {
 			d := New(Options{Table: table, Holder: fmt.Sprint(i)})
 			d.batcher.linger = linger
 			d.batcher.unbatched = unbatched
-			keepers = append(keepers, d)
+			deduplicators = append(deduplicators, d)
 		}
 		const seconds = 1
 		total := rate * seconds
@@ -54,14 +53,13 @@
 		var sum time.Duration
 		for i := range total {
 			wg.Go(func() {
-				// Spread unevenly, in a fixed way, so that arrivals are
-				// neither in step nor all apart.
+				// A fixed, uneven spread, so that arrivals are neither in step nor all apart.
 				jitter := time.Duration(i*7919%1000) * time.Second / 1000 / 4
 				time.Sleep(time.Duration(i)*time.Second/time.Duration(rate) + jitter)
 				start := time.Now()
 				r := request("")
 				r.Key = fmt.Sprint(i)
-				c := mustRun(t, keepers[i%nodes], r)
+				c := mustRun(t, deduplicators[i%nodes], r)
 				took := time.Since(start)
 				mu.Lock()
 				sum += took
--- a/internal/once/property_test.go
+++ b/internal/once/property_test.go
@@ -24,10 +24,10 @@
 	Deadline time.Duration
 	Pause    time.Duration // between the claim and the run
 	RunTime  time.Duration
-	// Ending is 0 for an answer, 1 for a backend server's refusal, 2 for a
-	// claimant that dies, 3 for a lost outcome.
+	// Ending is 0 for a response, 1 for a refusal by the backend server, 2 for a claimant that
+	// crashes, 3 for a lost outcome.
 	Ending int
-	Size   int // of the answer
+	Size   int // of the response body
 }
 
 type faultAt struct {
@@ -73,31 +73,31 @@
 	return p
 })
 
-// world runs a plan on three nodes and notes what breaks a promise.
-type world struct {
-	table *faulty
-	nodes []*Deduplicator
-	guard bool // all sendings under the local guard
+// scenario runs a plan on its nodes and records violations.
+type scenario struct {
+	table      *faultyTable
+	nodes      []*Deduplicator
+	localGuard bool // all sendings use the local guard
 
 	mu       sync.Mutex
-	runs     map[int]int    // by key, runs that happened
-	answers  map[int]string // by key, the first run's answer
+	runs     map[int]int    // by key, number of runs
+	answers  map[int]string // by key, the run's response
 	body     map[int]byte   // by key, the body that ran
 	problems []string
 	next     int
 }
 
-func (w *world) problem(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.problems = append(w.problems, fmt.Sprintf(format, args...))
+func (sc *scenario) problem(format string, args ...any) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	sc.problems = append(sc.problems, fmt.Sprintf(format, args...))
 }
 
-func (w *world) send(s sending) {
+func (sc *scenario) send(s sending) {
 	time.Sleep(s.At)
 	rule := config.OnStoreDownRefuse
 	switch {
-	case w.guard:
+	case sc.localGuard:
 		rule = config.OnStoreDownLocalGuard
 	case s.Wait:
 		rule = config.OnStoreDownWait
@@ -106,22 +106,22 @@
 		Service: "submit", Key: fmt.Sprint(s.Key), Fingerprint: [32]byte{s.Body + 1},
 		StoreDown: rule, Deadline: time.Now().Add(s.Deadline),
 	}
-	b, err := w.nodes[s.Node%len(w.nodes)].Begin(context.Background(), r)
+	b, err := sc.nodes[s.Node%len(sc.nodes)].Begin(context.Background(), r)
 	var refused *call.Refusal
 	switch {
 	case errors.As(err, &refused):
 	case err != nil:
-		w.problem("untyped error %v", err)
+		sc.problem("untyped error %v", err)
 	case b.Run != nil:
-		w.run(s, b.Run)
+		sc.run(s, b.Run)
 	case b.Replay != nil:
-		w.replay(s, b.Replay)
+		sc.replay(s, b.Replay)
 	case !b.Unknown:
-		w.problem("an empty answer")
+		sc.problem("empty decision")
 	}
 }
 
-func (w *world) run(s sending, c *Claim) {
+func (sc *scenario) run(s sending, c *Claim) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	time.Sleep(s.Pause)
@@ -133,12 +133,12 @@
 		_ = c.Abandon(ctx)
 		return
 	}
-	w.mu.Lock()
-	w.runs[s.Key]++
-	w.next++
-	answer := fmt.Sprint("answer ", w.next, strings.Repeat(".", s.Size))
-	w.answers[s.Key], w.body[s.Key] = answer, s.Body
-	w.mu.Unlock()
+	sc.mu.Lock()
+	sc.runs[s.Key]++
+	sc.next++
+	answer := fmt.Sprint("answer ", sc.next, strings.Repeat(".", s.Size))
+	sc.answers[s.Key], sc.body[s.Key] = answer, s.Body
+	sc.mu.Unlock()
 	time.Sleep(s.RunTime)
 	if s.Ending == 2 {
 		return
@@ -152,66 +152,65 @@
 	_ = c.Finish(ctx, StoredOutcome{Status: 200, Body: []byte(answer)})
 }
 
-func (w *world) replay(s sending, got *StoredOutcome) {
-	w.mu.Lock()
-	want, body := w.answers[s.Key], w.body[s.Key]
-	w.mu.Unlock()
-	whole := !w.guard || !got.Truncated
+func (sc *scenario) replay(s sending, got *StoredOutcome) {
+	sc.mu.Lock()
+	want, body := sc.answers[s.Key], sc.body[s.Key]
+	sc.mu.Unlock()
+	whole := !sc.localGuard || !got.Truncated
 	if whole && string(got.Body) != want {
-		w.problem("replayed %q, ran %q", got.Body, want)
+		sc.problem("replayed %q, ran %q", got.Body, want)
 	}
 	if body != s.Body {
-		w.problem("replayed to another body")
+		sc.problem("replayed to another body")
 	}
 }
 
-func runPlan(t *testing.T, p plan, nodes int, guard bool) (problems []string) {
+func runPlan(t *testing.T, p plan, nodes int, localGuard bool) (problems []string) {
 	synctest.Test(t, func(*testing.T) {
-		w := &world{
-			table: newFaulty(), guard: guard, runs: make(map[int]int),
+		sc := &scenario{
+			table: newFaultyTable(), localGuard: localGuard, runs: make(map[int]int),
 			answers: make(map[int]string), body: make(map[int]byte),
 		}
 		for i := range nodes {
-			w.nodes = append(w.nodes, New(Options{
-				Table: w.table, Holder: fmt.Sprint("vm", i),
+			sc.nodes = append(sc.nodes, New(Options{
+				Table: sc.table, Holder: fmt.Sprint("vm", i),
 				Lease: 2 * time.Second, ClaimTimeout: 400 * time.Millisecond,
 			}))
 		}
 		var wg sync.WaitGroup
 		for _, s := range p.Sendings {
-			wg.Go(func() { w.send(s) })
+			wg.Go(func() { sc.send(s) })
 		}
 		for _, f := range p.Faults {
-			time.AfterFunc(f.At, func() { w.table.set(f.Kind) })
-			time.AfterFunc(f.At+f.For, func() { w.table.set(faultNone) })
+			time.AfterFunc(f.At, func() { sc.table.set(f.Kind) })
+			time.AfterFunc(f.At+f.For, func() { sc.table.set(faultNone) })
 		}
 		for range 6 {
 			time.Sleep(2 * time.Second)
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			for _, n := range w.nodes {
+			for _, n := range sc.nodes {
 				_ = n.Flush(ctx)
 			}
 			cancel()
 		}
 		wg.Wait()
-		for key, n := range w.runs {
+		for key, n := range sc.runs {
 			if n > 1 {
-				w.problem("key %d ran %d times", key, n)
+				sc.problem("key %d ran %d times", key, n)
 			}
 		}
-		if w.table.violation != "" {
-			w.problem("%s", w.table.violation)
+		if sc.table.violation != "" {
+			sc.problem("%s", sc.table.violation)
 		}
-		problems = w.problems
-		time.Sleep(10 * time.Second) // lets transactions under way end
+		problems = sc.problems
+		time.Sleep(10 * time.Second) // lets transactions in flight end
 	})
 	return problems
 }
 
-// A clerk's submission is sent again while the first sending is still under
-// way, from other nodes, while the platform is down, loses answers, lets writes
-// land late or reads stale rows, and claimants pause past their lease or die.
-// However these cross, the key must run at most once and give one outcome.
+// Guards against second runs and differing outcomes: a request is resent through several nodes
+// while the platform is down, loses responses, applies writes late or returns stale reads, and
+// claimants pause past their lease or crash.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := plans.Draw(rt, "plan")
@@ -221,8 +220,8 @@
 	})
 }
 
-// The same, under the local guard, with all sendings at one node that lives on.
-// There the guard promises as much as the table does.
+// The same with the local guard and a single node that does not crash. There the local guard must
+// be as strict as the table.
 func TestGuardOfOneNodeUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := plans.Draw(rt, "plan")
--- a/internal/once/recent.go
+++ b/internal/once/recent.go
@@ -6,16 +6,15 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// recent remembers keys of local-guard classes whose runs ended and were
-// recorded in the table. It guards against this: a request runs and is
-// recorded, the platform goes down, and a resend reaches the same node. Without
-// a memory of its own the node could not read the row, and would run the
-// request again under a guard.
+// recent caches the runs of local-guard classes that ended and were recorded in the table.
+// Without it, a request could run twice: it runs and is recorded, the platform goes down, and a
+// resend reaches the same node, which cannot read the row and would run the request again under a
+// local guard.
 type recent struct {
 	runs *lru.Cache[string, recentRun]
 }
 
-// recentRun is a run that ended. A nil outcome means that it is not known.
+// recentRun is a run that ended. A nil outcome means that the outcome is unknown.
 type recentRun struct {
 	fingerprint [32]byte
 	outcome     *StoredOutcome
@@ -33,7 +32,7 @@
 	m.runs.Add(key, recentRun{fingerprint: fingerprint, outcome: truncateBody(s)})
 }
 
-// find returns what to answer to a resend, and whether the key is known.
+// find returns the decision for a resend, and whether the key is known.
 func (m recent) find(key string, fingerprint [32]byte) (b Decision, found bool, err error) {
 	run, found := m.runs.Get(key)
 	switch {
@@ -45,7 +44,7 @@
 	return Decision{Replay: run.outcome, Unknown: run.outcome == nil}, true, nil
 }
 
-// truncateBody drops a body that is too large to be remembered at a node.
+// truncateBody drops a body that is over maxLocalBody.
 func truncateBody(s *StoredOutcome) *StoredOutcome {
 	if s == nil || len(s.Body) <= maxLocalBody {
 		return s
--- a/internal/once/record_test.go
+++ b/internal/once/record_test.go
@@ -9,27 +9,26 @@
 	"github.com/marlpass/marlpass/internal/platform"
 )
 
-// bounded is a table that takes no transaction with a key over the platform's
-// bound (api/platform.yaml).
-type bounded struct{ *faulty }
+// keyLimitedTable rejects transactions with a key over the platform's limit (api/platform.yaml).
+type keyLimitedTable struct{ *faultyTable }
 
-const platformKeyBound = 512
+const maxPlatformKey = 512
 
-func (b bounded) Commit(ctx context.Context, t platform.Txn) error {
+func (b keyLimitedTable) Commit(ctx context.Context, t platform.Txn) error {
 	for _, w := range t.Writes {
-		if len(w.Key) > platformKeyBound {
+		if len(w.Key) > maxPlatformKey {
 			return platform.ErrUnavailable
 		}
 	}
-	return b.faulty.Commit(ctx, t)
+	return b.faultyTable.Commit(ctx, t)
 }
 
-// One client makes its keys of 600 letters. The platform takes no such row, nor
-// anything in the same transaction: bookings of other callers that were claimed
-// beside it were refused, or ran without a claim. Both must be claimed.
-func TestLongKeyFailsNobody(t *testing.T) {
-	bubble(t, func(t *testing.T, table *faulty) {
-		d := New(Options{Table: bounded{table}, Holder: "vm1"})
+// Guards against a long key failing other requests: the platform rejects a row key over its limit
+// and everything in the same transaction, so requests claimed beside it were refused or ran
+// without a claim. All must be claimed.
+func TestLongKeyFailsNoOtherClaim(t *testing.T) {
+	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
+		d := New(Options{Table: keyLimitedTable{table}, Holder: "vm1"})
 		first := request(config.OnStoreDownRefuse)
 		first.Key = "first"
 		long := first
@@ -63,7 +62,7 @@
 	seen := make(map[string]bool)
 	for _, key := range []string{"", "a", "a/b", long, long + "a", hashed, "/" + hashed} {
 		row := rowKey("c", key)
-		if seen[row] || len(row) > platformKeyBound {
+		if seen[row] || len(row) > maxPlatformKey {
 			t.Errorf("key of %d bytes: row %q", len(key), row)
 		}
 		seen[row] = true
