--- a/internal/proxy/spool_test.go
+++ b/internal/proxy/spool_test.go
@@ -20,9 +20,9 @@
 // A backend server's answer breaks off in its middle. Passed on as it came, the
 // caller's connection had to be broken off as well; read first, the call can go to
 // another endpoint.
-func TestSpoolSeesBrokenAnswers(t *testing.T) {
+func TestSpoolDetectsTruncatedAnswers(t *testing.T) {
 	s := NewSpool(1 << 20)
-	if tried, err := s.read(response(10, strings.NewReader("half"))); !tried || !errors.Is(err, errBroken) {
+	if tried, err := s.read(response(10, strings.NewReader("half"))); !tried || !errors.Is(err, errAnswerTruncated) {
 		t.Errorf("broken: %v %v", tried, err)
 	}
 	if s.used.Load() != 0 {
@@ -44,9 +44,9 @@
 
 // What must not be read whole: answers of unknown length, which may be endless,
 // those over the bound, and those for which there is no memory left.
-func TestSpoolPassesOnTheRest(t *testing.T) {
+func TestSpoolSkipsUnboundedAnswers(t *testing.T) {
 	s := NewSpool(8)
-	for _, n := range []int64{-1, 0, 9, maxSpooled + 1} {
+	for _, n := range []int64{-1, 0, 9, maxSpooledBytes + 1} {
 		if tried, err := s.read(response(n, strings.NewReader("x"))); tried || err != nil {
 			t.Errorf("length %d: %v %v", n, tried, err)
 		}
@@ -60,22 +60,22 @@
 // of each answer goes out at once; what follows keeps to the pace.
 func TestLinkPacesBulkOnly(t *testing.T) {
 	const bytesPerSecond = 1 << 20
-	l := NewLink(bytesPerSecond / bytesPerMbit)
+	l := NewLinkPacer(bytesPerSecond / bytesPerMbit)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // whoever waits for the pace is told so at once
 	w := httptest.NewRecorder()
-	small, err := l.pace(ctx, w, new(config.Target), 0, -1).Write(make([]byte, bulkFrom))
-	if small != bulkFrom || err != nil {
+	small, err := l.pace(ctx, w, new(config.Target), 0, -1).Write(make([]byte, bulkThreshold))
+	if small != bulkThreshold || err != nil {
 		t.Errorf("a small answer: %d bytes, %v", small, err)
 	}
-	large, err := l.pace(ctx, w, new(config.Target), 0, -1).Write(make([]byte, 2*bulkFrom))
-	if large >= 2*bulkFrom || err == nil {
+	large, err := l.pace(ctx, w, new(config.Target), 0, -1).Write(make([]byte, 2*bulkThreshold))
+	if large >= 2*bulkThreshold || err == nil {
 		t.Errorf("a large answer: %d bytes, %v", large, err)
 	}
-	if got, want := float64(l.bulk.Limit()), bytesPerSecond*bulkPart-smallMbps*bytesPerMbit; got != want {
+	if got, want := float64(l.bulk.Limit()), bytesPerSecond*bulkShare-smallAnswerMbps*bytesPerMbit; got != want {
 		t.Errorf("bulk goes at %.0f bytes a second, not %.0f", got, want)
 	}
-	if NewLink(0) != nil {
+	if NewLinkPacer(0) != nil {
 		t.Error("a link of unknown rate is paced")
 	}
 	var b bytes.Buffer
@@ -88,17 +88,17 @@
 // An export of 280 KB should be there within 0.8 s over a link of 11 Mbit/s; a
 // picture of 90 KB has more time over one of 5. At a fixed part of the link, one of
 // the two is too late or the other keeps lookups waiting.
-func TestAnswerRateFollowsTheAim(t *testing.T) {
+func TestAnswerRateFollowsTargetLatency(t *testing.T) {
 	for _, c := range []struct {
 		aimMS, size int64
 		mbps, want  float64 // parts of the link
 	}{
 		{800, 280_000, 11, 0.636},
 		{1000, 90_000, 5, 0.36},
-		{1000, 20_000, 5, answerLeast},
-		{1000, 540_000, 5, answerMost},
-		{0, 90_000, 5, answerLeast},
-		{1000, -1, 5, answerLeast},
+		{1000, 20_000, 5, minAnswerShare},
+		{1000, 540_000, 5, maxAnswerShare},
+		{0, 90_000, 5, minAnswerShare},
+		{1000, -1, 5, minAnswerShare},
 	} {
 		link := c.mbps * bytesPerMbit
 		got := answerRate(&config.Target{AnswerWithinMS: c.aimMS}, link, c.size) / link
