--- a/internal/pipeline/body.go
+++ b/internal/pipeline/body.go
@@ -10,7 +10,7 @@
 // requestBody is the body of a request.
 type requestBody struct {
 	e               *exchange
-	mu              sync.Mutex // a handler's transport may read on beside drain
+	mu              sync.Mutex // a handler's transport may still read while drain runs
 	r               io.ReadCloser
 	expectsContinue bool // the client waits for 100 Continue
 	once            sync.Once
@@ -18,8 +18,8 @@
 	discarded       bool
 }
 
-// errBodyClosed is returned to who reads a body after the answer is complete.
-var errBodyClosed = errors.New("pipeline: the request's body is no longer read")
+// errBodyClosed is returned by reads of a body after its response is complete.
+var errBodyClosed = errors.New("pipeline: request body read after the response was complete")
 
 // Read implements io.Reader.
 func (b *requestBody) Read(p []byte) (int, error) {
@@ -41,7 +41,7 @@
 	return n, err
 }
 
-// sendContinue tells the client to send the body.
+// sendContinue sends 100 Continue, unless the response header was sent first.
 func (b *requestBody) sendContinue() error {
 	if !b.e.awaitTurn() {
 		return context.Canceled
@@ -49,7 +49,7 @@
 	b.e.c.wmu.Lock()
 	defer b.e.c.wmu.Unlock()
 	if b.e.headerSent {
-		return nil // the answer is there before the body
+		return nil // the response precedes the body
 	}
 	if _, err := b.e.c.bw.WriteString("HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 		return err
@@ -69,8 +69,8 @@
 	}
 }
 
-// drain reads what the handler left of the body, and reports whether the
-// connection can serve another request.
+// drain reads what the handler left unread of the body, and reports whether the connection can
+// serve another request.
 func (b *requestBody) drain() bool {
 	if b.ended() {
 		return true
--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -16,23 +16,23 @@
 const (
 	readBuffer  = 4 << 10
 	writeBuffer = 8 << 10
-	// headerSlack is what the read buffer may take beyond a header.
+	// headerSlack is how many bytes the read buffer may read past a header.
 	headerSlack = readBuffer
-	// maxDrainBytes is how much of a body that the handler left is read in order to
-	// keep the connection.
+	// maxDrainBytes is how much of an unread request body is read in order to keep the
+	// connection.
 	maxDrainBytes = 256 << 10
-	// lingerTimeout is how long a connection that ends with unread bytes stays open
-	// for reading, so that the kernel does not reset it under the answer.
+	// lingerTimeout is how long a closing connection with unread bytes stays open for reading, so
+	// that the kernel does not reset it before the client has read the response.
 	lingerTimeout = 500 * time.Millisecond
-	// finalReadTimeout is how long a connection without requests is still read when the server shuts
-	// down: a request that has come may wait in the socket.
+	// finalReadTimeout is how long an idle connection is still read during shutdown: a request
+	// that has arrived may be waiting in the socket.
 	finalReadTimeout = 50 * time.Millisecond
 )
 
-// errHeaderTooLarge ends the reading of a header that is over its limit.
-var errHeaderTooLarge = errors.New("pipeline: the header is too large")
+// errHeaderTooLarge means that a request header is over its limit.
+var errHeaderTooLarge = errors.New("pipeline: request header too large")
 
-// conn is one client's connection.
+// conn is a client connection.
 type conn struct {
 	s      *Server
 	nc     net.Conn
@@ -43,23 +43,24 @@
 	bw     *bufio.Writer
 	ctx    context.Context
 	cancel context.CancelFunc
-	// requestCtx is the context of the requests. It ends with ctx, or before it when the
-	// server gives up on requests whose answers may still be sent.
+	// requestCtx is the context of the requests. It ends with ctx, or earlier when CancelRequests
+	// cancels requests whose responses may still be sent.
 	requestCtx     context.Context
 	cancelRequests context.CancelFunc
 
 	mu sync.Mutex // guards the rest
-	// pending are the requests that were read and are not answered, oldest first.
+	// pending are the requests that were read and whose responses are not complete, oldest first.
 	pending []*exchange
-	// readsDone says that no request after those due, and the one being read, will be
-	// read; clientGone that the client has left; responsesDone that the readsDone answer was sent.
+	// readsDone means that no request after the pending ones and the one being read is accepted;
+	// clientGone that the client has left; responsesDone that the last response was sent.
 	readsDone, clientGone, responsesDone bool
-	// reading says that a request's first byte has come and it is not due yet.
+	// reading means that the first byte of a request has arrived and the request is not pending
+	// yet.
 	reading bool
-	// waiting says that the reader waits for a first byte, or is about to; finalRead that it is to
-	// do so once more only.
+	// waiting means that the reader waits for a first byte, or is about to; finalRead that this
+	// is the last such wait, bounded by finalReadTimeout.
 	waiting, finalRead bool
-	pendingShrank      *sync.Cond // signalled when due shrinks
+	pendingShrank      *sync.Cond // signalled when pending shrinks
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
@@ -72,7 +73,7 @@
 	return c
 }
 
-// limitedReader fails once more than its limit was read; a negative limit is none.
+// limitedReader fails after remaining bytes were read; a negative value means no limit.
 type limitedReader struct {
 	r         io.Reader
 	remaining int
@@ -90,12 +91,10 @@
 	return n, err
 }
 
-// serve reads requests until the client leaves or an answer closes the
-// connection.
+// serve reads requests until the client leaves or a response closes the connection.
 //
-// It reads on while requests are handled. That is also how it learns that the
-// client has left: the contexts of all requests end then, and with them the work
-// that nobody waits for.
+// It keeps reading while requests are handled, which also detects that the client has left. The
+// contexts of all its requests end then, and with them work whose result cannot be delivered.
 func (c *conn) serve() {
 	defer c.s.removeConn(c)
 	for {
@@ -140,9 +139,9 @@
 
 // awaitFirstByte waits for the first byte of the next request.
 //
-// The bound on idle connections is asked for again when it has passed. Operators
-// may raise it at any time; a client that goes by the new bound would otherwise
-// send its next request into a connection that is being closed.
+// The idle timeout is read again when it has passed, because operators may raise it at any time.
+// A client that relies on the new timeout would otherwise send its next request into a connection
+// that is being closed.
 func (c *conn) awaitFirstByte() error {
 	c.lr.remaining = -1
 	began := time.Now()
@@ -169,10 +168,9 @@
 	}
 }
 
-// setIdleDeadline sets how long the client may stay quiet from now on, and reports whether
-// the connection ends then. It fails once the last answer was sent: setting the bound
-// then would undo that of closing, and the connection would stay open until the client
-// ends it.
+// setIdleDeadline bounds the idle time from now on, and reports whether the connection ends when
+// it has passed. It fails once the last response was sent: it would overwrite the deadline of
+// closeAfterLastResponse, and the connection would stay open until the client closes it.
 func (c *conn) setIdleDeadline(remaining time.Duration) (final bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,8 +190,8 @@
 	return c.finalRead
 }
 
-// readHeader reads the header of a request, which may take up to most bytes. What
-// comes behind it in one piece may be its body, and does not count.
+// readHeader reads a request header of up to limit bytes. Bytes behind it that arrive in the same
+// read may belong to the body and do not count.
 func (c *conn) readHeader(limit int) (*http.Request, error) {
 	before := c.br.Buffered()
 	c.lr.remaining = limit + headerSlack
@@ -214,18 +212,19 @@
 }
 
 var (
-	errNoHost = errors.New("pipeline: the request names no host")
+	errNoHost = errors.New("pipeline: request without a Host header")
 	// errNoFurtherRequest means that no further request is read on the connection.
-	errNoFurtherRequest = errors.New("pipeline: the connection takes no further request")
+	errNoFurtherRequest = errors.New("pipeline: connection accepts no further request")
 )
 
-// requestError is why a request that the client began could not be read.
+// requestError is the error of a request that was begun and could not be read.
 type requestError struct{ err error }
 
 func (e *requestError) Error() string { return e.err.Error() }
 func (e *requestError) Unwrap() error { return e.err }
 
-// beginRead notes that a request is coming, unless no further one is read.
+// beginRead records that a request is arriving. It reports false if no further request is
+// accepted.
 func (c *conn) beginRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -233,8 +232,8 @@
 	return c.reading
 }
 
-// dispatch hands a request to the handler, and returns when the next one may be
-// read. It reports false when none may.
+// dispatch passes a request to the handler, and returns when the next one may be read. It reports
+// false when no further one may be.
 func (c *conn) dispatch(r *http.Request) bool {
 	e := newExchange(c, r)
 	if !c.enqueue(e, c.s.CanPipeline != nil && e.bodyless() && c.s.CanPipeline(r)) {
@@ -244,7 +243,7 @@
 	if e.bodyless() {
 		return !r.Close || c.watchForClose()
 	}
-	// What follows the body cannot be read before the body was.
+	// The bytes behind the body can be read only after the body.
 	select {
 	case <-e.body.done:
 	case <-e.finished:
@@ -255,15 +254,15 @@
 	return !r.Close
 }
 
-// watchForClose keeps the connection read while its last request is handled, so that
-// a client that leaves is noticed. It always reports false.
+// watchForClose reads from the connection while its last request is handled, to detect that the
+// client leaves. It always reports false.
 func (c *conn) watchForClose() bool {
 	c.mu.Lock()
 	if c.responsesDone {
 		c.mu.Unlock()
 		return false
 	}
-	_ = c.nc.SetReadDeadline(time.Time{}) // the read tells of the error
+	_ = c.nc.SetReadDeadline(time.Time{}) // the read returns the error
 	c.mu.Unlock()
 	if _, err := c.br.Peek(1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.clientLeft()
@@ -271,16 +270,16 @@
 	return false
 }
 
-// closedTurn is the turn of a request that nothing is due before.
+// closedTurn is the turn of a request with no pending request before it.
 var closedTurn = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// enqueue adds a request to those due, once there is room and its turn allows. It
-// reports false when the client has left. A request whose reading began before the
-// connection was to end is still taken: the answer before it did not say so.
+// enqueue adds a request to the pending ones, once there is room. It reports false when the
+// client has left. A request whose first byte arrived before readsDone was set is still accepted,
+// because the response before it did not announce the close.
 func (c *conn) enqueue(e *exchange, canPipeline bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -304,7 +303,7 @@
 	return true
 }
 
-// finish ends the turn of the oldest request.
+// finish removes the oldest request and gives the turn to the next.
 func (c *conn) finish(e *exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -318,18 +317,18 @@
 	c.pendingShrank.Broadcast()
 }
 
-// isLastResponse reports whether the answer to e is the last of the connection. Wanted
-// says that the handler or the client asks for that.
-func (c *conn) isLastResponse(e *exchange, wanted bool) bool {
+// isLastResponse reports whether the response to e is the last of the connection. Wanted means
+// that the handler or the client requests the close.
+func (c *conn) isLastResponse(e *exchange, closeRequested bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readsDone = c.readsDone || wanted || c.s.draining.Load()
+	c.readsDone = c.readsDone || closeRequested || c.s.draining.Load()
 	return c.readsDone && len(c.pending) == 1 && c.pending[0] == e && !c.reading
 }
 
-// closeIdle closes the connection if nothing is due on it, and reports whether it
-// is closed. Where the reader waits for a request it looks once more first: one that
-// waits in the socket is answered, as the client can't know whether it ran.
+// closeIdle closes the connection if no request is pending, and reports whether it is closed. If
+// the reader waits for a request, it makes a final read first: a request waiting in the socket
+// must be answered, because the client cannot know whether it ran.
 func (c *conn) closeIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -339,7 +338,7 @@
 	if c.waiting && !c.readsDone {
 		if !c.finalRead {
 			c.finalRead = true
-			_ = c.nc.SetReadDeadline(time.Unix(1, 0)) // an error means that the reader has seen it
+			_ = c.nc.SetReadDeadline(time.Unix(1, 0)) // an error means that the reader has noticed
 		}
 		return false
 	}
--- a/internal/pipeline/end.go
+++ b/internal/pipeline/end.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// handleReadError answers a request that could not be read, or notes that the client left.
+// handleReadError answers a request that could not be read, or ends the work of a client that
+// left.
 func (c *conn) handleReadError(err error) {
 	var bad *requestError
 	switch {
@@ -27,7 +28,7 @@
 			c.abort()
 			return
 		}
-		// Answers are due on a connection on which the client is merely quiet.
+		// Responses are pending on a connection whose client is merely idle.
 		c.watchForClose()
 		c.linger()
 	case errors.Is(err, errNoFurtherRequest):
@@ -43,7 +44,7 @@
 	return errors.As(err, &n)
 }
 
-// rejectRequest answers a request that could not be read, behind those that are due.
+// rejectRequest answers a request that could not be read, after the pending responses.
 func (c *conn) rejectRequest(status int) {
 	r := &http.Request{Method: http.MethodGet, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Header: http.Header{}, Body: http.NoBody, Close: true}
@@ -57,7 +58,7 @@
 	c.linger()
 }
 
-// clientLeft ends the work for a client that has left.
+// clientLeft cancels the work for a client that has left.
 func (c *conn) clientLeft() {
 	c.mu.Lock()
 	c.readsDone, c.clientGone, c.reading = true, true, false
@@ -66,8 +67,8 @@
 	c.abort()
 }
 
-// linger waits for the last answer, and then for the client to close, so that
-// bytes it still sends do not reset the connection under the answer.
+// linger waits for the last response and then for the client to close, so that bytes the client
+// still sends do not reset the connection before it has read the response.
 func (c *conn) linger() {
 	c.mu.Lock()
 	for len(c.pending) > 0 && !c.clientGone {
@@ -75,21 +76,21 @@
 	}
 	c.mu.Unlock()
 	if t, ok := c.nc.(*net.TCPConn); ok {
-		_ = t.CloseWrite() // an error means that the client has gone
+		_ = t.CloseWrite() // an error means that the client has left
 	}
 	_ = c.nc.SetReadDeadline(time.Now().Add(lingerTimeout))
 	_, _ = io.Copy(io.Discard, c.nc)
 	c.abort()
 }
 
-// abort ends the connection at once, and whatever is handled on it.
+// abort closes the connection at once and cancels its requests.
 func (c *conn) abort() {
 	c.cancel()
 	c.nc.Close()
 }
 
-// logPanic logs a handler's panic, unless it is the one that breaks an answer
-// off on purpose.
+// logPanic logs a handler's panic, except http.ErrAbortHandler, which aborts a response on
+// purpose.
 func (c *conn) logPanic(v any) {
 	if v != http.ErrAbortHandler {
 		c.s.Log.Error().Interface("panic", v).Bytes("stack", debug.Stack()).Msg("listener: a handler panicked")
--- a/internal/pipeline/exchange.go
+++ b/internal/pipeline/exchange.go
@@ -12,26 +12,26 @@
 	"time"
 )
 
-// exchange is one request and its answer. It is the handler's ResponseWriter.
+// exchange is one request and its response. It is the handler's ResponseWriter.
 type exchange struct {
 	c       *conn
 	req     *http.Request
 	body    *requestBody
 	handler http.Handler
-	// turn is closed when all answers before this one were sent.
+	// turn is closed when all responses before this one are complete.
 	turn chan struct{}
 	// finished is closed when the handler has returned; nil without a body.
 	finished chan struct{}
 
 	header http.Header
 	status int
-	// buffered is what the handler wrote before the header was sent.
+	// buffered holds what the handler wrote before the header was sent.
 	buffered   bytes.Buffer
 	headerSent bool // the header was sent
-	closesConn bool // the connection ends with this answer
+	closesConn bool // the connection ends with this response
 	chunked    io.WriteCloser
-	// remaining is how many bytes of the announced length are still to be written;
-	// negative when no length was announced.
+	// remaining is how many bytes of the Content-Length are still to be written; negative without
+	// one.
 	remaining int64
 }
 
@@ -52,12 +52,12 @@
 
 func (e *exchange) bodyless() bool { return e.body == nil }
 
-// run handles the request and sends the answer in its turn.
+// run handles the request and sends the response in its turn.
 func (e *exchange) run() {
 	defer e.c.finish(e)
 	complete := e.handle() || e.substituteResponse()
 	if !complete || !e.awaitTurn() || !e.finishResponse() {
-		// Whoever waits behind is answered by nobody on this connection.
+		// The requests behind it get no response on this connection.
 		e.breakOff()
 		return
 	}
@@ -66,16 +66,16 @@
 	}
 }
 
-// breakOff ends the connection after an answer that is not whole. Where only the end of
-// the connection would tell the end of the body, a reset tells that it was breakOff.
+// breakOff ends the connection after an incomplete response. Where only the end of the connection
+// marks the end of the body, it resets the connection, so that the client notices.
 func (e *exchange) breakOff() {
 	if t, ok := e.c.nc.(*net.TCPConn); ok && e.headerSent && e.remaining < 0 && e.chunked == nil {
-		_ = t.SetLinger(0) // an error means that the connection is gone already
+		_ = t.SetLinger(0) // an error means that the connection is already closed
 	}
 	e.c.clientLeft()
 }
 
-// handle calls the handler, and reports false when the answer was broken off.
+// handle calls the handler, and reports false when the handler panicked.
 func (e *exchange) handle() (complete bool) {
 	if e.finished != nil {
 		defer close(e.finished)
@@ -90,7 +90,7 @@
 	return true
 }
 
-// awaitTurn waits for the answer's turn, and reports false when the client left.
+// awaitTurn waits for the response's turn, and reports false when the client left.
 func (e *exchange) awaitTurn() bool {
 	select {
 	case <-e.turn:
@@ -100,12 +100,12 @@
 	}
 }
 
-// substituteResponse puts an answer in the place of one that broke off before any of it was
-// sent, and reports whether it could.
+// substituteResponse replaces a response that was aborted before any of it was sent by 502, and
+// reports whether it could.
 //
-// It guards the answers behind it. With the connection closed here they would be
-// lost, though backend servers have made them. A request with a body has no such
-// answer: what is left of the body would be read as the next request.
+// Closing the connection here would lose the responses behind it, although backend servers have
+// produced them. A request with a body gets no such response: the unread rest of its body would
+// be parsed as the next request.
 func (e *exchange) substituteResponse() bool {
 	if e.headerSent || !e.bodyless() || e.c.ctx.Err() != nil {
 		return false
@@ -126,8 +126,8 @@
 	}
 }
 
-// Write implements http.ResponseWriter. What comes before the answer's turn is
-// held, up to a bound.
+// Write implements http.ResponseWriter. Writes before the response's turn are buffered, up to
+// MaxBufferedResponse.
 func (e *exchange) Write(p []byte) (int, error) {
 	e.WriteHeader(http.StatusOK)
 	if !e.headerSent && e.buffered.Len()+len(p) <= MaxBufferedResponse && !e.hasTurn() {
@@ -155,7 +155,7 @@
 	}
 }
 
-// Flush implements http.Flusher. It does nothing before the answer's turn.
+// Flush implements http.Flusher. It does nothing before the response's turn.
 func (e *exchange) Flush() {
 	if !e.hasTurn() {
 		return
@@ -166,18 +166,18 @@
 	if !e.headerSent && e.sendHeader(false) != nil {
 		return
 	}
-	_ = e.c.bw.Flush() // the next write tells of the error
+	_ = e.c.bw.Flush() // the next write returns the error
 }
 
-// sendHeader sends the header and what was held. Whole says that the handler
-// writes nothing more.
+// sendHeader sends the header and the buffered body. Complete means that the handler writes
+// nothing more.
 func (e *exchange) sendHeader(complete bool) error {
 	e.headerSent = true
 	h := e.header
 	e.setFraming(complete)
-	wanted := e.req.Close || hasToken(h["Connection"], "close")
+	closeRequested := e.req.Close || hasToken(h["Connection"], "close")
 	delete(h, "Connection")
-	if e.closesConn = e.c.isLastResponse(e, wanted || e.remaining < 0 && e.chunked == nil && e.hasBody()); e.closesConn {
+	if e.closesConn = e.c.isLastResponse(e, closeRequested || e.remaining < 0 && e.chunked == nil && e.hasBody()); e.closesConn {
 		h["Connection"] = []string{"close"}
 	}
 	w := e.c.bw
@@ -189,8 +189,8 @@
 	return err
 }
 
-// writeStatus writes the status line, and the date unless the handler set one. The
-// writer keeps its first error for the flush.
+// writeStatus writes the status line, and the date unless the handler set one. The writer keeps
+// its first error and returns it from Flush.
 func (e *exchange) writeStatus(w *bufio.Writer) {
 	line := append(w.AvailableBuffer(), "HTTP/1.1 "...)
 	line = strconv.AppendInt(line, int64(e.status), 10)
@@ -205,7 +205,7 @@
 	_, _ = w.Write(line)
 }
 
-// setFraming decides how the end of the body is told.
+// setFraming decides how the end of the body is marked.
 func (e *exchange) setFraming(complete bool) {
 	h := e.header
 	delete(h, "Transfer-Encoding")
@@ -252,7 +252,7 @@
 	return e.c.bw.Write(p)
 }
 
-// finishResponse sends what is left of the answer, and reports whether it is whole.
+// finishResponse sends the rest of the response, and reports whether it is complete.
 func (e *exchange) finishResponse() bool {
 	e.WriteHeader(http.StatusOK)
 	e.c.wmu.Lock()
@@ -265,12 +265,12 @@
 			return false
 		}
 	}
-	// An answer that is shorter than announced must not look whole.
+	// A response shorter than its Content-Length must not look complete.
 	return e.remaining <= 0 && e.c.bw.Flush() == nil
 }
 
-// writeTrailers ends a chunked body with the trailers that were announced, and
-// those that bear the prefix of net/http.
+// writeTrailers ends a chunked body with the announced trailers and those with
+// http.TrailerPrefix.
 func (e *exchange) writeTrailers() error {
 	trailers := make(http.Header)
 	for _, line := range e.header["Trailer"] {
@@ -293,14 +293,14 @@
 	return err
 }
 
-// closeAfterLastResponse ends the connection after its last answer. Whatever the client sends
-// is left to linger.
+// closeAfterLastResponse ends reading after the last response. linger discards what the client
+// still sends.
 func (c *conn) closeAfterLastResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readsDone, c.responsesDone = true, true
-	// The reader may wait for a next request: it has to see that there is none.
-	_ = c.nc.SetReadDeadline(time.Unix(1, 0)) // an error means that it has seen it
+	// The reader may be waiting for a next request; the deadline wakes it.
+	_ = c.nc.SetReadDeadline(time.Unix(1, 0)) // an error means that the reader has noticed
 }
 
 func hasToken(lines []string, token string) bool {
@@ -314,14 +314,14 @@
 	return false
 }
 
-// EnableFullDuplex lets a handler answer before it has read the body; it always
-// may here.
+// EnableFullDuplex lets a handler respond before it has read the body, which this server always
+// allows.
 func (e *exchange) EnableFullDuplex() error { return nil }
 
 // SetReadDeadline bounds the reading of the request's body.
 func (e *exchange) SetReadDeadline(t time.Time) error {
 	if e.body == nil || e.body.ended() {
-		// The reader of the next request sets its own.
+		// The reader of the next request sets its own deadline.
 		return nil
 	}
 	return e.c.nc.SetReadDeadline(t)
--- a/internal/pipeline/server.go
+++ b/internal/pipeline/server.go
@@ -14,17 +14,18 @@
 	"github.com/marlpass/marlpass/internal/drain"
 )
 
-// Defaults of a Server's bounds.
+// Limits of a Server.
 const (
-	// MaxPipelined is how many requests of one connection are handled at once.
+	// MaxPipelined is the maximum number of pending requests of one connection.
 	MaxPipelined = 32
-	// MaxBufferedResponse is how many bytes of an answer are held back until its turn.
+	// MaxBufferedResponse is how many bytes of a response body are buffered until its turn.
 	MaxBufferedResponse = 64 << 10
-	// pollInterval is how often Shutdown looks whether connections became idle.
+	// pollInterval is how often Shutdown checks for idle connections, and the delay after a
+	// temporary accept error.
 	pollInterval = 10 * time.Millisecond
 )
 
-// Limits bound what a client may send and how long it may take.
+// Limits bound the size and duration of a client's requests.
 type Limits struct {
 	HeaderBytes   int
 	HeaderTimeout time.Duration // from a request's first byte to the end of its header
@@ -34,24 +35,24 @@
 // Server serves connections. Handler and Limits must be set.
 type Server struct {
 	Handler http.Handler
-	// Limits is asked for each request.
+	// Limits is called for each request.
 	Limits func() Limits
-	// CanPipeline reports whether a request may be handled while earlier ones are
-	// not answered yet; nil means that none may.
+	// CanPipeline reports whether a request may be handled while earlier ones are pending; nil
+	// means never.
 	CanPipeline func(*http.Request) bool
 	Log         zerolog.Logger
 
 	mu    sync.Mutex // guards the rest
 	conns map[*conn]struct{}
 	ln    *drain.Listener
-	// stopping says that no connection is accepted any more but for those that wait, and closed
-	// that those aren't either.
+	// stopping means that no connection is accepted except those that already wait at the socket,
+	// closed that those are not accepted either.
 	stopping, closed bool
-	// draining ends connections as soon as nothing is due on them.
+	// draining makes connections close as soon as no request is pending on them.
 	draining atomic.Bool
 }
 
-// Serve accepts connections until Shutdown or Close, and then returns
+// Serve accepts connections until StopAccepting, Shutdown or Close, and then returns
 // http.ErrServerClosed.
 func (s *Server) Serve(ln net.Listener) error {
 	s.mu.Lock()
@@ -73,7 +74,7 @@
 		case s.isStopping() && !temporary(err):
 			return http.ErrServerClosed
 		case temporary(err):
-			s.Log.Warn().Err(err).Msg("listener: a connection could not be accepted")
+			s.Log.Warn().Err(err).Msg("listener: accepting a connection failed")
 			time.Sleep(pollInterval)
 		default:
 			return err
@@ -81,8 +82,8 @@
 	}
 }
 
-// temporary reports whether accepting may work again: as when the process has no
-// file descriptor left.
+// temporary reports whether a later accept may succeed, for example when the process is out of
+// file descriptors.
 func temporary(err error) bool {
 	var e interface{ Temporary() bool }
 	return errors.As(err, &e) && e.Temporary()
@@ -112,8 +113,8 @@
 	delete(s.conns, c)
 }
 
-// StopAccepting closes the socket, once those who wait at it were accepted. Their requests, and
-// those on the other connections, are served on.
+// StopAccepting closes the socket after accepting the connections that wait at it. Their
+// requests, and those on the other connections, are still served.
 func (s *Server) StopAccepting(ctx context.Context) {
 	s.mu.Lock()
 	s.stopping = true
@@ -124,8 +125,8 @@
 	}
 }
 
-// Shutdown stops accepting, and closes each connection once nothing is due on it.
-// It returns when all are closed, or with ctx's error.
+// Shutdown stops accepting, and closes each connection once no request is pending on it. It
+// returns when all are closed, or with ctx's error.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.draining.Store(true)
 	s.StopAccepting(ctx)
@@ -141,14 +142,13 @@
 	return nil
 }
 
-// CancelRequests cancels the requests that are still handled, and returns when every answer
-// that is due was sent, or with ctx's error. It is for a planned stop that takes too
-// long, after Shutdown and before Close.
+// CancelRequests cancels the requests in progress, and returns when every pending response was
+// sent, or with ctx's error. It is for a planned stop that takes too long, after Shutdown and
+// before Close.
 //
-// It guards the answers behind the ones that don't come. On a connection whose client
-// sends ahead, an answer that is ready waits for the ones before it; closed at the
-// limit of the stop, the connection would lose it as well. Cancelled, the requests
-// before it are answered as failed, and it follows.
+// On a connection with pipelined requests, a finished response waits for those before it, and
+// closing the connection at the time limit would lose it too. With the requests before it
+// cancelled and answered as failed, it can be sent.
 func (s *Server) CancelRequests(ctx context.Context) error {
 	s.mu.Lock()
 	for c := range s.conns {
@@ -158,8 +158,7 @@
 	return s.Shutdown(ctx)
 }
 
-// closeIdle closes the connections on which nothing is due, and returns how many
-// are left.
+// closeIdle closes the connections on which no request is pending, and returns how many are left.
 func (s *Server) closeIdle() int {
 	s.mu.Lock()
 	list := make([]*conn, 0, len(s.conns))
--- a/internal/pipeline/server_test.go
+++ b/internal/pipeline/server_test.go
@@ -16,7 +16,7 @@
 	"github.com/rs/zerolog"
 )
 
-// start serves h on loopback and returns a connection to it.
+// start serves s on loopback and returns a connection to it.
 func start(t *testing.T, s *Server) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,9 +53,9 @@
 	}
 }
 
-// answer reads one answer as "status body", with "close" behind it if it ends the
+// readResponse reads one response as "status body", followed by "close" if it closes the
 // connection.
-func answer(t *testing.T, r *bufio.Reader) string {
+func readResponse(t *testing.T, r *bufio.Reader) string {
 	t.Helper()
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -72,9 +72,8 @@
 	return out
 }
 
-// An owner's page asks for a slow answer and a quick one on one connection. The
-// quick one waited until the slow one was done: net/http reads the next request
-// only after the answer. Both have to run at once, and their answers come in order.
+// Guards against a short request waiting behind a slow one on the same connection, as it does
+// with net/http. Both must run at once, with their responses in order.
 func TestRequestsAreReadAhead(t *testing.T) {
 	second := make(chan struct{})
 	c, r := start(t, &Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -87,15 +86,15 @@
 	})})
 	send(t, c, "GET /slow HTTP/1.1\nHost: h\n\nGET /quick HTTP/1.1\nHost: h\n\n")
 	for _, want := range []string{"200 /slow", "200 /quick"} {
-		if got := answer(t, r); got != want {
+		if got := readResponse(t, r); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
 
-// A booking is sent behind a lookup whose answer closes the connection. The client
-// takes the booking for unread and sends it again, so it must not have started.
-func TestNothingUnrepeatableStartsBehindAnother(t *testing.T) {
+// Guards against a second run: a response that closes the connection makes the client resend the
+// POST behind it, so the POST must not have started.
+func TestUnsafeRequestWaitsForEarlierOnes(t *testing.T) {
 	started := make(chan string, 4)
 	release := make(chan struct{})
 	c, r := start(t, &Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -111,22 +110,21 @@
 	send(t, c, "POST / HTTP/1.1\nHost: h\nContent-Length: 2\n\nhi")
 	select {
 	case m := <-started:
-		t.Fatalf("%s started behind a request that is not answered", m)
+		t.Fatalf("%s started behind a pending request", m)
 	case <-time.After(50 * time.Millisecond):
 	}
 	close(release)
-	if got := answer(t, r); got != "200 GET" {
+	if got := readResponse(t, r); got != "200 GET" {
 		t.Fatalf("got %q", got)
 	}
-	// It was read before the answer, which therefore could not close.
-	if got := answer(t, r); got != "200 POST close" {
+	// It was read before the response, which therefore could not close the connection.
+	if got := readResponse(t, r); got != "200 POST close" {
 		t.Fatalf("got %q", got)
 	}
 }
 
-// An owner closes the page. Both requests on the connection go on at their backend
-// servers for nobody, unless the end of the connection ends them.
-func TestLeavingClientEndsItsRequests(t *testing.T) {
+// Guards against wasted work: when the client disconnects, all its requests must be cancelled.
+func TestDisconnectCancelsRequests(t *testing.T) {
 	began, ended := make(chan struct{}, 2), make(chan struct{}, 2)
 	c, _ := start(t, &Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		began <- struct{}{}
@@ -141,14 +139,14 @@
 	<-ended
 }
 
-// Bodies with a length and in chunks, an answer before the body was read, a header
-// over the limit, and what is no request at all.
+// Covers bodies with a length and in chunks, a response before the body was read, a header over
+// the limit and malformed requests.
 func TestRequestForms(t *testing.T) {
 	echo := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		w.Write(b)
 	})
-	deaf := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+	ignoreBody := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	for _, c := range []struct {
 		name, send string
 		handler    http.Handler
@@ -156,7 +154,7 @@
 	}{
 		{"length", "POST / HTTP/1.1\nHost: h\nContent-Length: 2\n\nhiGET / HTTP/1.1\nHost: h\n\n", echo, []string{"200 hi", "200 "}},
 		{"chunks", "POST / HTTP/1.1\nHost: h\nTransfer-Encoding: chunked\n\n2\nhi\n0\n\nGET / HTTP/1.1\nHost: h\n\n", echo, []string{"200 hi", "200 "}},
-		{"unread body", "POST / HTTP/1.1\nHost: h\nContent-Length: 2\n\nhiGET / HTTP/1.1\nHost: h\n\n", deaf, []string{"204 ", "204 "}},
+		{"unread body", "POST / HTTP/1.1\nHost: h\nContent-Length: 2\n\nhiGET / HTTP/1.1\nHost: h\n\n", ignoreBody, []string{"204 ", "204 "}},
 		{"close", "GET / HTTP/1.1\nHost: h\nConnection: close\n\n", echo, []string{"200  close"}},
 		{"large header", "GET / HTTP/1.1\nHost: h\nX: " + strings.Repeat("x", 40<<10) + "\n\n", echo, []string{"431 Request Header Fields Too Large\n close"}},
 		{"no request", "hello\n\n", echo, []string{"400 Bad Request\n close"}},
@@ -166,7 +164,7 @@
 			conn, r := start(t, &Server{Handler: c.handler})
 			send(t, conn, c.send)
 			for _, want := range c.want {
-				if got := answer(t, r); got != want {
+				if got := readResponse(t, r); got != want {
 					t.Errorf("got %q, want %q", got, want)
 				}
 			}
@@ -174,9 +172,8 @@
 	}
 }
 
-// An answer breaks off in its middle. Ended like a whole one, a caller would take
-// half a picture for the picture.
-func TestCutAnswerLooksCut(t *testing.T) {
+// Guards against a response that breaks off halfway and looks complete to the caller.
+func TestAbortedResponseIsIncomplete(t *testing.T) {
 	c, r := start(t, &Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, "half")
 		w.(http.Flusher).Flush()
@@ -188,13 +185,13 @@
 		t.Fatal(err)
 	}
 	if b, err := io.ReadAll(resp.Body); err == nil {
-		t.Errorf("%q looks whole", b)
+		t.Errorf("%q looks complete", b)
 	}
 }
 
-// A node stops. Idle connections end at once; one on which an answer is due ends
-// with that answer.
-func TestShutdownWaitsForAnswers(t *testing.T) {
+// On shutdown, idle connections close at once; a connection with a pending response closes with
+// that response.
+func TestShutdownWaitsForResponses(t *testing.T) {
 	began, release := make(chan struct{}), make(chan struct{})
 	s := &Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		close(began)
@@ -210,7 +207,7 @@
 		runtime.Gosched()
 	}
 	close(release)
-	if got := answer(t, r); got != "200 done close" {
+	if got := readResponse(t, r); got != "200 done close" {
 		t.Errorf("got %q", got)
 	}
 	c.Close()
@@ -219,10 +216,9 @@
 	}
 }
 
-// Operators bound headers at 8 KiB, and a client sends 9 KiB beside a request that
-// keeps within it. What the read buffer holds beyond a header must not count for it,
-// nor be allowed to it.
-func TestHeaderBoundIsExact(t *testing.T) {
+// Guards the header limit against the read buffer: bytes buffered behind a header must not count
+// towards the header, nor extend the limit.
+func TestHeaderLimitIsExact(t *testing.T) {
 	limits := func() Limits {
 		return Limits{HeaderBytes: 8 << 10, HeaderTimeout: time.Minute, IdleTimeout: time.Minute}
 	}
@@ -236,18 +232,17 @@
 		x := strings.Repeat("x", 8<<10-len(frame)+c.over)
 		body := strings.Repeat("b", 3000)
 		send(t, conn, "POST / HTTP/1.1\nHost: h\nContent-Length: 3000\nX: "+x+"\n\n"+body)
-		if got := answer(t, r); !strings.HasPrefix(got, c.want) {
+		if got := readResponse(t, r); !strings.HasPrefix(got, c.want) {
 			t.Errorf("%d bytes over: %.40q", c.over, got)
 		}
 	}
 }
 
-// Operators raise the bound on idle connections from 20 ms to an hour while a
-// client's connection lies idle. The client goes by the new bound; closed by the
-// old one, the connection took its next request with it.
-func TestRaisedIdleBoundHoldsAtOnce(t *testing.T) {
+// Guards against closing an idle connection by an outdated timeout: operators raise it from 20 ms
+// to an hour, and the client relies on the new one.
+func TestRaisedIdleTimeoutAppliesAtOnce(t *testing.T) {
 	var raised atomic.Bool
-	asked := make(chan struct{}, 16)
+	limitsRead := make(chan struct{}, 16)
 	s := &Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }),
 		Limits: func() Limits {
@@ -256,18 +251,18 @@
 				l.IdleTimeout = time.Hour
 			}
 			select {
-			case asked <- struct{}{}:
+			case limitsRead <- struct{}{}:
 			default:
 			}
 			return l
 		},
 	}
 	conn, r := start(t, s)
-	<-asked // the wait for the first request has begun, under the short bound
+	<-limitsRead // the wait for the first request has begun with the short timeout
 	raised.Store(true)
-	<-asked // the short bound has passed, and the new one is known
+	<-limitsRead // the short timeout has passed and the new one was read
 	send(t, conn, "GET / HTTP/1.1\nHost: h\n\n")
-	if got := answer(t, r); got != "204 " {
+	if got := readResponse(t, r); got != "204 " {
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/pipeline/stop_idle_bound_test.go
+++ b/internal/pipeline/stop_idle_timeout_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Guards a booking that waits in the socket as a stop closes it, where operators have lowered the
-// bound on idle connections since: the last look was left out, and the booking was reset.
-func TestStopLooksThoughTheIdleBoundFell(t *testing.T) {
+// Guards against a reset request during shutdown: after operators lowered the idle timeout, the
+// final read was skipped while a request waited in the socket.
+func TestShutdownReadsAfterIdleTimeoutWasLowered(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 			return Limits{HeaderBytes: 16 << 10, HeaderTimeout: time.Minute, IdleTimeout: bound}
 		},
 	}
-	late := lateConns{Listener: ln, accepted: make(chan struct{}, 1)}
+	late := delayedListener{Listener: ln, accepted: make(chan struct{}, 1)}
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(late) }()
 	c, err := net.Dial("tcp", ln.Addr().String())
@@ -41,11 +41,11 @@
 	defer c.Close()
 	send(t, c, "POST /book HTTP/1.1\nHost: h\nContent-Length: 2\n\nhi")
 	<-late.accepted
-	<-waits // by the old bound
+	<-waits // with the old timeout
 	idle.Store(int64(time.Nanosecond))
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Shutdown(context.Background()) }()
-	if got := answer(t, bufio.NewReader(c)); got != "200 booked close" {
+	if got := readResponse(t, bufio.NewReader(c)); got != "200 booked close" {
 		t.Errorf("got %q", got)
 	}
 	c.Close()
--- a/internal/pipeline/stop_test.go
+++ b/internal/pipeline/stop_test.go
@@ -7,11 +7,9 @@
 	"testing"
 )
 
-// A client sends a report and a lookup ahead of each other's answers to a node that
-// is being stopped. The report hangs at its backend server, and the lookup's answer is
-// ready and waits behind it. At the limit of the stop the connection was closed, and
-// the client lost the answer that had been made.
-func TestReadyAnswerSurvivesTheLimitOfAStop(t *testing.T) {
+// Guards against losing a finished response at the time limit of a stop: it waits behind a
+// request that hangs at its backend server, and the connection was closed under both.
+func TestReadyResponseSurvivesStopLimit(t *testing.T) {
 	hangs, ready := make(chan struct{}), make(chan struct{})
 	s := &Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/report" {
@@ -30,25 +28,24 @@
 	passed, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := s.Shutdown(passed); err == nil {
-		t.Fatal("the stop took the report for answered")
+		t.Fatal("Shutdown succeeded with a request in progress")
 	}
-	gaveUp := make(chan error, 1)
-	go func() { gaveUp <- s.CancelRequests(context.Background()) }()
+	cancelled := make(chan error, 1)
+	go func() { cancelled <- s.CancelRequests(context.Background()) }()
 	for _, want := range []string{"502 ", "200 found close"} {
-		if got := answer(t, r); got != want {
+		if got := readResponse(t, r); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 	c.Close()
-	if err := <-gaveUp; err != nil {
+	if err := <-cancelled; err != nil {
 		t.Error(err)
 	}
 }
 
-// A backend server breaks its answer off before any of it went to the client, since
-// it waited its turn. The answers behind it, which were ready, were lost with the
-// connection.
-func TestBrokenAnswerTakesNoOtherWithIt(t *testing.T) {
+// Guards against an aborted response, of which nothing was sent yet, closing the connection and
+// losing the finished responses behind it.
+func TestAbortedResponseKeepsLaterOnes(t *testing.T) {
 	first := make(chan struct{})
 	c, r := start(t, &Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -64,7 +61,7 @@
 	})})
 	send(t, c, "GET /first HTTP/1.1\nHost: h\n\nGET /broken HTTP/1.1\nHost: h\n\nGET /last HTTP/1.1\nHost: h\n\n")
 	for _, want := range []string{"200 /first", "502 ", "200 /last"} {
-		if got := answer(t, r); got != want {
+		if got := readResponse(t, r); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
