--- a/internal/node/dedup.go
+++ b/internal/node/dedup.go
@@ -35,7 +35,7 @@
 }
 
 // claimAdapter gives once.Claim the shape that the proxy asks for. Errors of Finish
-// and Abandon are settled later by Keeper.Flush.
+// and Abandon are settled later by Deduplicator.Flush.
 type claimAdapter struct{ c *once.Claim }
 
 func (c claimAdapter) Started(ctx context.Context) error { return c.c.Started(ctx) }
--- a/internal/once/claim.go
+++ b/internal/once/claim.go
@@ -168,7 +168,7 @@
 	leaseExpired := existing.Lost || now.Sub(existing.claimedAt()) > a.d.opts.Lease || now.Sub(waitStart) > a.d.opts.Lease
 	if leaseExpired {
 		// The claimant crashed, is paused or could not store the outcome. It may have run the
-		// request, so no other claimant runs it.
+		// request, so no claimant runs it again.
 		return Decision{Unknown: true}, rowDecided, nil
 	}
 	return Decision{}, rowPending, nil
--- a/internal/once/deduplicator_test.go
+++ b/internal/once/deduplicator_test.go
@@ -113,7 +113,7 @@
 // The platform commits the claim, but its response is lost. The claimant must recognise its own
 // row and run the request instead of answering "unknown".
 func TestLostCommitResponseIsResolved(t *testing.T) {
-	for _, kind := range []faultKind{faultLostAnswer, faultLateWrite} {
+	for _, kind := range []faultKind{faultLostResponse, faultLateWrite} {
 		withFaultyTable(t, func(t *testing.T, table *faultyTable) {
 			table.set(kind)
 			time.AfterFunc(100*time.Millisecond, func() { table.set(faultNone) })
--- a/internal/once/fake_test.go
+++ b/internal/once/fake_test.go
@@ -18,12 +18,12 @@
 type faultKind int
 
 const (
-	faultNone       faultKind = iota
-	faultOutage               // writes and reads fail without effect
-	faultWritesOnly           // writes fail without effect, reads work
-	faultLostAnswer           // the write takes effect, its response is lost
-	faultLateWrite            // the write takes effect lateBy after its lost response
-	faultStaleRead            // reads find no row
+	faultNone         faultKind = iota
+	faultOutage                 // writes and reads fail without effect
+	faultWritesOnly             // writes fail without effect, reads work
+	faultLostResponse           // the write takes effect, its response is lost
+	faultLateWrite              // the write takes effect lateBy after its lost response
+	faultStaleRead              // reads find no row
 )
 
 const lateBy = 300 * time.Millisecond
@@ -75,7 +75,7 @@
 	switch f.fault() {
 	case faultOutage, faultWritesOnly:
 		return platform.ErrUnavailable
-	case faultLostAnswer:
+	case faultLostResponse:
 		_ = f.apply(ctx, t)
 		return platform.ErrUnknown
 	case faultLateWrite:
--- a/internal/once/flight.go
+++ b/internal/once/flight.go
@@ -27,7 +27,7 @@
 	// does not have it. unstored is the outcome to store.
 	retained bool
 	unstored *unstoredOutcome
-	bytes    int // counted in Deduplicator.heldBytes
+	bytes    int // counted in Deduplicator.localBytes
 }
 
 // unstoredOutcome is an outcome that could not be stored yet.
--- a/internal/once/flush_test.go
+++ b/internal/once/flush_test.go
@@ -14,7 +14,7 @@
 // many locally guarded outcomes. They were stored one by one, each after its own linger time, so
 // most were lost with the VM and their resends ran a second time at other nodes.
 func TestFlushSharesTransactions(t *testing.T) {
-	const bookings = 300
+	const requests = 300
 	withFaultyTable(t, func(t *testing.T, table *faultyTable) {
 		table.set(faultOutage)
 		d := newNode(table, "vm1")
@@ -25,7 +25,7 @@
 		}
 		ended, cancel := context.WithCancel(background)
 		cancel()
-		for i := range bookings {
+		for i := range requests {
 			if err := mustRun(t, d, keyed(i)).Finish(ended, StoredOutcome{Status: 201, Body: []byte("berth")}); err == nil {
 				t.Fatal("stored in an outage")
 			}
@@ -39,11 +39,11 @@
 		}
 		after := table.writes()
 		other := newNode(table, "vm2")
-		for i := range bookings {
+		for i := range requests {
 			mustReplay(t, other, keyed(i), "berth")
 		}
-		t.Logf("%d transactions for %d bookings", after-before, bookings)
-		if after-before >= bookings {
+		t.Logf("%d transactions for %d requests", after-before, requests)
+		if after-before >= requests {
 			t.Error("outcomes shared no transactions")
 		}
 	})
