--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -277,9 +277,10 @@
 	return c
 }()
 
-// enqueue adds a request to the pending ones, once there is room. It reports false when the
-// client has left. A request whose first byte arrived before readsDone was set is still accepted,
-// because the response before it did not announce the close.
+// enqueue adds a request to the pending ones: when none is pending, or with canPipeline when there
+// are fewer than MaxPipelined. It reports false when the client has left. A request whose first
+// byte arrived before readsDone was set is still accepted, because the response before it did not
+// announce the close.
 func (c *conn) enqueue(e *exchange, canPipeline bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -317,8 +318,8 @@
 	c.pendingShrank.Broadcast()
 }
 
-// isLastResponse reports whether the response to e is the last of the connection. Wanted means
-// that the handler or the client requests the close.
+// isLastResponse reports whether the response to e is the last of the connection. closeRequested
+// means that the handler or the client asks to close it.
 func (c *conn) isLastResponse(e *exchange, closeRequested bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/pipeline/exchange.go
+++ b/internal/pipeline/exchange.go
@@ -169,7 +169,7 @@
 	_ = e.c.bw.Flush() // the next write returns the error
 }
 
-// sendHeader sends the header and the buffered body. Complete means that the handler writes
+// sendHeader sends the header and the buffered body. complete means that the handler writes
 // nothing more.
 func (e *exchange) sendHeader(complete bool) error {
 	e.headerSent = true
