--- a/internal/once/batcher.go
+++ b/internal/once/batcher.go
@@ -11,50 +11,50 @@
 	"github.com/marlpass/marlpass/internal/platform"
 )
 
-// Bounds on one transaction.
+// Limits of one transaction.
 const (
 	maxBatchRows  = 64
 	maxBatchBytes = 512 << 10
-	// commitTimeout bounds one transaction. A transaction serves many
-	// requests, so no single one's deadline may end it.
+	// commitTimeout bounds one transaction. A transaction carries the writes of many requests, so
+	// no request's deadline may cancel it.
 	commitTimeout = 5 * time.Second
 )
 
-// item is one row to write, on at most one condition on that same row.
+// item is a write to one row, with at most one condition, on that row.
 type item struct {
 	condition *platform.Condition
 	write     platform.Write
-	// urgent items are sent at once when no transaction is under way. The
-	// others wait up to the linger time for one to ride on.
+	// urgent items are sent at once when no transaction is in flight. Other items wait up to the
+	// linger time for a transaction to share.
 	urgent bool
 	result chan error
 }
 
-// batcher writes the items of one node in groups: one transaction is under way
-// at a time, and what comes meanwhile makes up the next.
+// batcher commits the items of one node in groups: one transaction is in flight at a time, and
+// items that arrive meanwhile form the next one.
 type batcher struct {
 	table  platform.Table
 	linger time.Duration
 	writes atomic.Uint64 // transactions sent
-	// single sends each item in a transaction of its own, at once. It is the
-	// baseline that group commit is measured against.
-	single bool
-
-	mu      sync.Mutex
-	pending []*item
-	busy    bool
-	timer   *time.Timer
+	// unbatched sends each item at once in its own transaction. Tests use it as the baseline for
+	// group commit.
+	unbatched bool
+
+	mu         sync.Mutex
+	pending    []*item
+	committing bool
+	timer      *time.Timer
 }
 
 func newBatcher(t platform.Table, linger time.Duration) *batcher {
 	return &batcher{table: t, linger: linger}
 }
 
-// errNotSent means that the item was withdrawn before it was sent.
-var errNotSent = fmt.Errorf("%w: the caller left before the write was sent", platform.ErrUnavailable)
+// errNotSent is returned for an item that was withdrawn before it was sent.
+var errNotSent = fmt.Errorf("%w: the context ended before the write was sent", platform.ErrUnavailable)
 
-// do writes an item. When ctx ends first, the error is platform.ErrUnavailable
-// if the item was not sent and platform.ErrUnknown if it was.
+// do commits an item. When ctx ends first, the error is platform.ErrUnavailable if the item was
+// not sent and platform.ErrUnknown if it was.
 func (b *batcher) do(ctx context.Context, it *item) error {
 	if ctx.Err() != nil {
 		return errNotSent
@@ -62,7 +62,7 @@
 	it.result = make(chan error, 1)
 	b.mu.Lock()
 	b.pending = append(b.pending, it)
-	b.kick()
+	b.sendIfReady()
 	b.mu.Unlock()
 	select {
 	case err := <-it.result:
@@ -92,25 +92,25 @@
 	return false
 }
 
-// kick sends what is pending, now or after the linger time. b.mu is held.
-func (b *batcher) kick() {
-	if len(b.pending) == 0 || (b.busy && !b.single) {
+// sendIfReady sends the pending items, at once or after the linger time. b.mu is held.
+func (b *batcher) sendIfReady() {
+	if len(b.pending) == 0 || (b.committing && !b.unbatched) {
 		return
 	}
-	if b.anyUrgent() || len(b.pending) >= maxBatchRows || b.linger <= 0 || b.single {
+	if b.anyUrgent() || len(b.pending) >= maxBatchRows || b.linger <= 0 || b.unbatched {
 		b.send()
 		return
 	}
 	if b.timer == nil {
-		b.timer = time.AfterFunc(b.linger, b.lingered)
+		b.timer = time.AfterFunc(b.linger, b.lingerExpired)
 	}
 }
 
-func (b *batcher) lingered() {
+func (b *batcher) lingerExpired() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.timer = nil
-	if !b.busy && len(b.pending) > 0 {
+	if !b.committing && len(b.pending) > 0 {
 		b.send()
 	}
 }
@@ -124,26 +124,26 @@
 	return false
 }
 
-// send starts a transaction with what is pending. b.mu is held.
+// send starts a transaction with the next batch. b.mu is held.
 func (b *batcher) send() {
 	if b.timer != nil {
 		b.timer.Stop()
 		b.timer = nil
 	}
-	batch := b.take()
-	b.busy = true
+	batch := b.nextBatch()
+	b.committing = true
 	go func() {
 		b.commit(batch)
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.busy = false
-		b.kick()
+		b.committing = false
+		b.sendIfReady()
 	}()
 }
 
-// take removes the next batch from pending: each row at most once, because two
+// nextBatch removes the next batch from pending. It holds each row at most once, because two
 // writes to a row in one transaction have no order.
-func (b *batcher) take() []*item {
+func (b *batcher) nextBatch() []*item {
 	var batch, rest []*item
 	size := 0
 	rows := make(map[string]bool)
@@ -161,22 +161,22 @@
 	return batch
 }
 
-// commit writes the batch. Items whose condition fails are told so and the
-// others are sent again without them, so that one repeat holds up no other.
+// commit writes the batch. Items whose condition fails get the conflict, and the others are sent
+// again without them, so a duplicate request does not delay other requests.
 func (b *batcher) commit(batch []*item) {
 	for len(batch) > 0 {
 		err := b.transact(batch)
 		var conflict *platform.ConflictError
 		if !errors.As(err, &conflict) {
-			answer(batch, err)
+			deliver(batch, err)
 			return
 		}
-		failed, rest := split(batch, conflict.Keys)
+		failed, rest := splitConflicting(batch, conflict.Keys)
 		if len(failed) == 0 {
-			answer(batch, fmt.Errorf("%w: conflict on rows not asked for", platform.ErrUnavailable))
+			deliver(batch, fmt.Errorf("%w: conflict on rows outside the transaction", platform.ErrUnavailable))
 			return
 		}
-		answer(failed, conflict)
+		deliver(failed, conflict)
 		batch = rest
 	}
 }
@@ -195,19 +195,19 @@
 	return b.table.Commit(ctx, t)
 }
 
-func answer(items []*item, err error) {
+func deliver(items []*item, err error) {
 	for _, it := range items {
 		it.result <- err
 	}
 }
 
-func split(batch []*item, keys []string) (failed, rest []*item) {
-	bad := make(map[string]bool, len(keys))
+func splitConflicting(batch []*item, keys []string) (failed, rest []*item) {
+	conflicting := make(map[string]bool, len(keys))
 	for _, k := range keys {
-		bad[k] = true
+		conflicting[k] = true
 	}
 	for _, it := range batch {
-		if bad[it.write.Key] {
+		if conflicting[it.write.Key] {
 			failed = append(failed, it)
 			continue
 		}
--- a/internal/once/finish.go
+++ b/internal/once/finish.go
@@ -9,98 +9,95 @@
 	"github.com/marlpass/marlpass/internal/platform"
 )
 
-// Finish stores the outcome of the run. Those who joined on this node get it at
-// once. It keeps trying until ctx ends; after that the outcome is remembered at
-// this node, and Flush tries again. Finish is meant to be called after the
-// answer went to the caller, with a context of its own.
+// Finish stores the outcome of the run. Requests that joined on this node get it at once. Finish
+// retries until ctx ends; after that this node keeps the outcome and Flush retries. Call it after
+// the response was sent to the caller, with a separate context.
 func (c *Claim) Finish(ctx context.Context, s StoredOutcome) error {
 	if err := c.end(); err != nil {
 		return err
 	}
-	if len(s.Body) > c.k.o.MaxBody {
+	if len(s.Body) > c.d.opts.MaxBody {
 		s.Body, s.Truncated = nil, true
 	}
 	c.row.Outcome = &s
-	c.k.settle(c.f, &s, false)
-	u := &unsavedOutcome{nonce: c.row.Nonce, row: c.row}
-	if err := c.k.store(ctx, c.f.key, u, c.guard); err != nil {
-		c.k.remember(c.f, u, c.guard)
+	c.d.publish(c.f, &s, false)
+	u := &unstoredOutcome{nonce: c.row.Nonce, row: c.row}
+	if err := c.d.store(ctx, c.f.key, u, c.localGuard); err != nil {
+		c.d.retainOutcome(c.f, u, c.localGuard)
 		return err
 	}
-	c.ended(&s)
+	c.forgetFlight(&s)
 	return nil
 }
 
-// ended forgets the flight of a run that the table knows of.
-func (c *Claim) ended(s *StoredOutcome) {
+// forgetFlight removes the flight of a run that is recorded in the table.
+func (c *Claim) forgetFlight(s *StoredOutcome) {
 	if c.r.StoreDown == config.OnStoreDownLocalGuard {
-		c.k.recent.add(c.f.key, c.r.Fingerprint, s)
+		c.d.recent.add(c.f.key, c.r.Fingerprint, s)
 	}
-	c.k.leave(c.f)
+	c.d.forget(c.f)
 }
 
-// Lost ends the claim of a run whose outcome is not known, because the backend
-// server died or the connection broke after the first byte. Repeats are told
-// "unknown", and the request never runs again. A guard stays remembered here; a
-// claim has its row, which tells the other nodes not to wait for the lease. If
-// that write fails, they wait and are told the same.
+// Lost ends the claim of a run whose outcome is unknown, because the backend server crashed or
+// the connection broke after the first byte. Resends get "unknown", and the request never runs
+// again. A local guard stays in this node's memory. Otherwise the row is marked, so that other
+// nodes do not wait for the lease; if that write fails, they wait for it and then answer the
+// same.
 func (c *Claim) Lost(ctx context.Context) error {
 	if err := c.end(); err != nil {
 		return err
 	}
-	if c.guard {
-		c.k.settle(c.f, nil, true)
+	if c.localGuard {
+		c.d.publish(c.f, nil, true)
 		return nil
 	}
 	c.row.Lost = true
 	value, err := c.row.encode()
 	if err == nil {
-		err = c.k.batcher.do(ctx, &item{write: platform.Write{Key: c.f.key, Value: value}})
+		err = c.d.batcher.do(ctx, &item{write: platform.Write{Key: c.f.key, Value: value}})
 	}
-	c.ended(nil)
+	c.forgetFlight(nil)
 	return err
 }
 
-// Abandon gives the claim up after a run that is proved not to have happened,
-// so that the caller may send the request again. If the platform does not
-// confirm it, a resend that reaches this node may run, and one that reaches
-// another is told "unknown" until Flush succeeds.
+// Abandon releases the claim of a request that certainly did not run, so that the caller may
+// resend it. If the platform does not confirm the removal, a resend to this node may run, and a
+// resend to another node gets "unknown" until Flush succeeds.
 func (c *Claim) Abandon(ctx context.Context) error {
 	if err := c.end(); err != nil {
 		return err
 	}
-	// Remembered before anything is sent: a resend may meet the row while
-	// its removal is under way.
-	c.k.release(c.f.key, c.row.Nonce)
-	err := c.k.unclaim(ctx, c.f.key, c.row.Nonce)
-	c.k.leave(c.f)
+	// Recorded before the removal is sent: a resend may read the row while the removal is in
+	// flight.
+	c.d.abandon(c.f.key, c.row.Nonce)
+	err := c.d.removeClaim(ctx, c.f.key, c.row.Nonce)
+	c.d.forget(c.f)
 	return err
 }
 
-// store writes an outcome until it is confirmed or ctx ends. A row of a claim
-// that is held is written without a condition: only the holder of the nonce
-// writes to it until it has an outcome, and writing the same outcome twice is
-// harmless, so a write whose answer was lost is simply sent again. A guard has
-// no row of its own for certain and must not replace another's.
-func (k *Deduplicator) store(ctx context.Context, key string, u *unsavedOutcome, guard bool) error {
+// store writes an outcome until it is confirmed or ctx ends. The row of a claim in the table is
+// written without a condition: only the holder of the nonce writes to it until it has an outcome,
+// and writing the same outcome twice is harmless, so a write whose response was lost is repeated.
+// A local guard may have no row of its own and must not replace another claimant's.
+func (d *Deduplicator) store(ctx context.Context, key string, u *unstoredOutcome, localGuard bool) error {
 	value, err := u.row.encode()
 	if err != nil {
 		return err
 	}
-	a := &attempt{k: k, pause: minPause}
+	a := &attempt{d: d, backoff: minBackoff}
 	for {
 		it := &item{write: platform.Write{Key: key, Value: value}}
-		if guard {
-			it.condition, err = k.guardCondition(ctx, key, u.nonce)
+		if localGuard {
+			it.condition, err = d.localGuardCondition(ctx, key, u.nonce)
 		}
 		if err == nil {
-			err = k.batcher.do(ctx, it)
+			err = d.batcher.do(ctx, it)
 		}
 		var conflict *platform.ConflictError
 		switch {
-		case err == nil, errors.Is(err, errStored):
+		case err == nil, errors.Is(err, errAlreadyStored):
 			return nil
-		case errors.Is(err, errTaken):
+		case errors.Is(err, errOtherClaimant):
 			return err
 		case errors.As(err, &conflict):
 			// The row changed since it was read; read it again.
@@ -112,151 +109,150 @@
 	}
 }
 
-// errTaken means that another claimant holds the row of a guard's key: both
-// ran the request, which is what a guard cannot rule out.
-var errTaken = errors.New("once: another claimant holds the row")
+// errOtherClaimant means that another claimant holds the row of a locally guarded key. Both ran
+// the request, which a local guard cannot rule out.
+var errOtherClaimant = errors.New("once: another claimant holds the row")
 
-// errStored means that a write of the outcome took effect though its answer was
-// lost.
-var errStored = errors.New("once: the outcome is stored")
+// errAlreadyStored means that a write of the outcome took effect although its response was lost.
+var errAlreadyStored = errors.New("once: the outcome is stored")
 
-func (k *Deduplicator) guardCondition(ctx context.Context, key, nonce string) (*platform.Condition, error) {
-	got, err := k.o.Table.Get(ctx, key)
+func (d *Deduplicator) localGuardCondition(ctx context.Context, key, nonce string) (*platform.Condition, error) {
+	got, err := d.opts.Table.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
 		return &platform.Condition{Key: key, Revision: platform.Absent}, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	stands, err := decodeRow(got.Value)
-	if err != nil || stands.Nonce != nonce {
-		return nil, errTaken
+	existing, err := decodeRow(got.Value)
+	if err != nil || existing.Nonce != nonce {
+		return nil, errOtherClaimant
 	}
-	if stands.Outcome != nil {
-		return nil, errStored
+	if existing.Outcome != nil {
+		return nil, errAlreadyStored
 	}
 	return &platform.Condition{Key: key, Revision: got.Revision}, nil
 }
 
 const (
-	// maxKeptBody is the largest body that a guard remembers, so that
-	// MaxLocalKeys outcomes fit its memory.
-	maxKeptBody = 1 << 10
-	// maxKeptBytes bounds the bodies of other outcomes that wait to be stored.
-	maxKeptBytes = 8 << 20
+	// maxLocalBody is the largest body kept for a local guard, in bytes. It bounds the memory of
+	// MaxLocalKeys outcomes.
+	maxLocalBody = 1 << 10
+	// maxLocalBytes bounds the total size of the bodies of other outcomes that wait to be stored.
+	maxLocalBytes = 8 << 20
 )
 
-// remember keeps the outcome at this node because the platform does not have
-// it. Without room the outcome is dropped, and repeats are told "unknown" by
-// the claim row. A guard always has room, because it took it before the run,
-// but loses a large body. The body of another outcome is kept whole: a write of
-// it may still be under way, and the row must not end up with either of two.
-func (k *Deduplicator) remember(f *flight, u *unsavedOutcome, guard bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.stats.Unstored++
+// retainOutcome keeps the outcome on this node because the platform does not have it. Over the
+// limit the outcome is dropped, and resends get "unknown" from the claim row. A local guard took
+// its place before the run and is never dropped, but loses a large body. The body of any other
+// outcome is kept whole: a write of it may be in flight, and the row must not end up with one of
+// two versions.
+func (d *Deduplicator) retainOutcome(f *flight, u *unstoredOutcome, localGuard bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.stats.Unstored++
 	size := len(u.row.Outcome.Body)
 	switch {
-	case guard && size > maxKeptBody:
-		u.row.Outcome = withinMemory(u.row.Outcome)
+	case localGuard && size > maxLocalBody:
+		u.row.Outcome = truncateBody(u.row.Outcome)
 		f.outcome = u.row.Outcome
-	case !guard && (k.held >= k.o.MaxLocalKeys || k.heldBytes+size > maxKeptBytes):
-		k.recent.add(f.key, f.fingerprint, nil)
-		k.drop(f)
+	case !localGuard && (d.localKeys >= d.opts.MaxLocalKeys || d.localBytes+size > maxLocalBytes):
+		d.recent.add(f.key, f.fingerprint, nil)
+		d.forgetLocked(f)
 		return
-	case !guard:
+	case !localGuard:
 		f.bytes = size
-		k.heldBytes += size
+		d.localBytes += size
 	}
-	k.keep(f)
-	f.unsaved = u
+	d.retain(f)
+	f.unstored = u
 }
 
-// guard takes room to remember f at this node only.
-func (k *Deduplicator) guard(f *flight) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.held >= k.o.MaxLocalKeys {
+// startLocalGuard records the claim of f on this node only. It reports false over MaxLocalKeys.
+func (d *Deduplicator) startLocalGuard(f *flight) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.localKeys >= d.opts.MaxLocalKeys {
 		return false
 	}
-	k.keep(f)
-	k.stats.LocalGuards++
+	d.retain(f)
+	d.stats.LocalGuards++
 	return true
 }
 
-// keep marks f as remembered. k.mu is held.
-func (k *Deduplicator) keep(f *flight) {
-	if !f.kept {
-		f.kept = true
-		k.held++
+// retain marks f as kept on this node. d.mu is held.
+func (d *Deduplicator) retain(f *flight) {
+	if !f.retained {
+		f.retained = true
+		d.localKeys++
 	}
 }
 
-func (k *Deduplicator) release(key, nonce string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.released) >= k.o.MaxLocalKeys {
-		// Dropping one costs its caller an "unknown" in place of a run.
-		for other := range k.released {
-			delete(k.released, other)
+func (d *Deduplicator) abandon(key, nonce string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if len(d.abandoned) >= d.opts.MaxLocalKeys {
+		// The caller of the dropped claim may get "unknown" instead of a run.
+		for other := range d.abandoned {
+			delete(d.abandoned, other)
 			break
 		}
 	}
-	k.released[released{key, nonce}] = givenUp{since: k.o.Now()}
+	d.abandoned[abandoned{key, nonce}] = abandonTimes{since: d.opts.Now()}
 }
 
-// released names a claim that was given up without a run. A key may have several:
-// each sending of a request that is refused while answers of the platform get
-// lost leaves one, and the row of any may be the one that stands.
-type released struct{ key, nonce string }
+// abandoned identifies a claim that was released without a run. A key may have several: each
+// sending that is refused while the platform's responses get lost leaves one, and any of them may
+// own the row.
+type abandoned struct{ key, nonce string }
 
-// givenUp is when a claim was given up and when its row is looked for next.
-type givenUp struct{ since, next time.Time }
+// abandonTimes holds when a claim was abandoned and when its row is checked next.
+type abandonTimes struct{ since, nextCheck time.Time }
 
-func (k *Deduplicator) wasReleased(key, nonce string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	_, ok := k.released[released{key, nonce}]
+func (d *Deduplicator) wasAbandoned(key, nonce string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	_, ok := d.abandoned[abandoned{key, nonce}]
 	return ok
 }
 
-// unclaim removes the row of a claim that was given up, if it stands.
-func (k *Deduplicator) unclaim(ctx context.Context, key, nonce string) error {
-	got, err := k.o.Table.Get(ctx, key)
+// removeClaim removes the row of an abandoned claim, if it exists.
+func (d *Deduplicator) removeClaim(ctx context.Context, key, nonce string) error {
+	got, err := d.opts.Table.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
-		// The row may yet appear if its write is under way, or this read
-		// is stale. It stays in released and Flush looks again.
+		// The row may still appear if its write is in flight or this read is stale. The claim
+		// stays in abandoned, and Flush checks again.
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	stands, err := decodeRow(got.Value)
+	existing, err := decodeRow(got.Value)
 	if err != nil {
 		return err
 	}
-	if stands.Outcome != nil {
-		k.forgetReleased(key, nonce)
+	if existing.Outcome != nil {
+		d.forgetAbandoned(key, nonce)
 		return nil
 	}
-	if stands.Nonce != nonce {
-		// Another claim was first. Should that one be given up too, the
-		// write of this one, still under way, would meet no row.
+	if existing.Nonce != nonce {
+		// Another claim holds the row. If that one is abandoned too, an in-flight write of this
+		// claim would find no row, so this claim stays recorded.
 		return nil
 	}
-	return k.removeReleased(ctx, got)
+	return d.removeRow(ctx, got)
 }
 
-func (k *Deduplicator) removeReleased(ctx context.Context, got platform.Row) error {
-	return k.batcher.do(ctx, &item{
+func (d *Deduplicator) removeRow(ctx context.Context, got platform.Row) error {
+	return d.batcher.do(ctx, &item{
 		condition: &platform.Condition{Key: got.Key, Revision: got.Revision},
 		write:     platform.Write{Key: got.Key, Delete: true},
 		urgent:    true,
 	})
 }
 
-func (k *Deduplicator) forgetReleased(key, nonce string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.released, released{key, nonce})
+func (d *Deduplicator) forgetAbandoned(key, nonce string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.abandoned, abandoned{key, nonce})
 }
--- a/internal/pipeline/exchange.go
+++ b/internal/pipeline/exchange.go
@@ -12,86 +12,86 @@
 	"time"
 )
 
-// exchange is one request and its answer. It is the handler's ResponseWriter.
+// exchange is one request and its response. It is the handler's ResponseWriter.
 type exchange struct {
 	c       *conn
 	req     *http.Request
 	body    *requestBody
 	handler http.Handler
-	// turn is closed when all answers before this one were sent.
+	// turn is closed when all responses before this one are complete.
 	turn chan struct{}
 	// finished is closed when the handler has returned; nil without a body.
 	finished chan struct{}
 
 	header http.Header
 	status int
-	// held is what the handler wrote before the header was sent.
-	held    bytes.Buffer
-	sent    bool // the header was sent
-	closes  bool // the connection ends with this answer
-	chunked io.WriteCloser
-	// left is how many bytes of the announced length are still to be written;
-	// negative when no length was announced.
-	left int64
+	// buffered holds what the handler wrote before the header was sent.
+	buffered   bytes.Buffer
+	headerSent bool // the header was sent
+	closesConn bool // the connection ends with this response
+	chunked    io.WriteCloser
+	// remaining is how many bytes of the Content-Length are still to be written; negative without
+	// one.
+	remaining int64
 }
 
 func newExchange(c *conn, r *http.Request) *exchange {
 	e := &exchange{
 		c: c, handler: c.s.Handler, header: make(http.Header),
-		left: -1,
+		remaining: -1,
 	}
 	if r.Body != nil && r.Body != http.NoBody && r.ContentLength != 0 {
 		e.finished = make(chan struct{})
 		e.body = &requestBody{e: e, r: r.Body, done: make(chan struct{})}
-		e.body.expected = r.ProtoAtLeast(1, 1) && strings.EqualFold(r.Header.Get("Expect"), "100-continue")
+		e.body.expectsContinue = r.ProtoAtLeast(1, 1) && strings.EqualFold(r.Header.Get("Expect"), "100-continue")
 		r.Body = e.body
 	}
-	e.req = r.WithContext(c.work)
+	e.req = r.WithContext(c.requestCtx)
 	return e
 }
 
 func (e *exchange) bodyless() bool { return e.body == nil }
 
-// run handles the request and sends the answer in its turn.
+// run handles the request and sends the response in its turn.
 func (e *exchange) run() {
-	defer e.c.answered(e)
-	whole := e.handle() || e.standIn()
-	if !whole || !e.await() || !e.complete() {
-		// Whoever waits behind is answered by nobody on this connection.
-		e.cut()
+	defer e.c.finish(e)
+	complete := e.handle() || e.substituteResponse()
+	if !complete || !e.awaitTurn() || !e.finishResponse() {
+		// The requests behind it get no response on this connection.
+		e.breakOff()
 		return
 	}
-	if e.closes {
-		e.c.closing()
+	if e.closesConn {
+		e.c.closeAfterLastResponse()
 	}
 }
 
-// cut ends the connection after an answer that is not whole. Where only the end of
-// the connection would tell the end of the body, a reset tells that it was cut.
-func (e *exchange) cut() {
-	if t, ok := e.c.nc.(*net.TCPConn); ok && e.sent && e.left < 0 && e.chunked == nil {
-		_ = t.SetLinger(0) // an error means that the connection is gone already
+// breakOff ends the connection after an incomplete response. Where only the end of the connection
+// marks the end of the body, it resets the connection, so that the client notices.
+func (e *exchange) breakOff() {
+	if t, ok := e.c.nc.(*net.TCPConn); ok && e.headerSent && e.remaining < 0 && e.chunked == nil {
+		_ = t.SetLinger(0) // an error means that the connection is already closed
 	}
-	e.c.leave()
+	e.c.clientLeft()
 }
 
-// handle calls the handler, and reports false when the answer was broken off.
-func (e *exchange) handle() (whole bool) {
+// handle calls the handler, and reports false when the handler panicked.
+func (e *exchange) handle() (complete bool) {
 	if e.finished != nil {
 		defer close(e.finished)
 	}
 	defer func() {
 		if v := recover(); v != nil {
-			e.c.recovered(v)
-			whole = false
+			e.c.logPanic(v)
+			complete = false
 		}
 	}()
 	e.handler.ServeHTTP(e, e.req)
 	return true
 }
 
-// await waits for the answer's turn, and reports false when the client left.
-func (e *exchange) await() bool {
+// awaitTurn waits for the response's turn, and reports false when the client left.
+func (e *exchange) awaitTurn() bool {
 	select {
 	case <-e.turn:
 		return e.c.ctx.Err() == nil
@@ -100,18 +100,18 @@
 	}
 }
 
-// standIn puts an answer in the place of one that broke off before any of it was
-// sent, and reports whether it could.
+// substituteResponse replaces a response that was aborted before any of it was sent by 502, and
+// reports whether it could.
 //
-// It guards the answers behind it. With the connection closed here they would be
-// lost, though backend servers have made them. A request with a body has no such
-// answer: what is left of the body would be read as the next request.
-func (e *exchange) standIn() bool {
-	if e.sent || !e.bodyless() || e.c.ctx.Err() != nil {
+// Closing the connection here would lose the responses behind it, although backend servers have
+// produced them. A request with a body gets no such response: the unread rest of its body would
+// be parsed as the next request.
+func (e *exchange) substituteResponse() bool {
+	if e.headerSent || !e.bodyless() || e.c.ctx.Err() != nil {
 		return false
 	}
 	e.header = make(http.Header)
-	e.held.Reset()
+	e.buffered.Reset()
 	e.status = http.StatusBadGateway
 	return true
 }
@@ -126,19 +126,19 @@
 	}
 }
 
-// Write implements http.ResponseWriter. What comes before the answer's turn is
-// held, up to a bound.
+// Write implements http.ResponseWriter. Writes before the response's turn are buffered, up to
+// MaxBufferedResponse.
 func (e *exchange) Write(p []byte) (int, error) {
 	e.WriteHeader(http.StatusOK)
-	if !e.sent && e.held.Len()+len(p) <= MaxBufferedResponse && !e.hasTurn() {
-		return e.held.Write(p)
+	if !e.headerSent && e.buffered.Len()+len(p) <= MaxBufferedResponse && !e.hasTurn() {
+		return e.buffered.Write(p)
 	}
-	if !e.await() {
+	if !e.awaitTurn() {
 		return 0, e.c.ctx.Err()
 	}
 	e.c.wmu.Lock()
 	defer e.c.wmu.Unlock()
-	if !e.sent {
+	if !e.headerSent {
 		if err := e.sendHeader(false); err != nil {
 			return 0, err
 		}
@@ -155,7 +155,7 @@
 	}
 }
 
-// Flush implements http.Flusher. It does nothing before the answer's turn.
+// Flush implements http.Flusher. It does nothing before the response's turn.
 func (e *exchange) Flush() {
 	if !e.hasTurn() {
 		return
@@ -163,34 +163,34 @@
 	e.WriteHeader(http.StatusOK)
 	e.c.wmu.Lock()
 	defer e.c.wmu.Unlock()
-	if !e.sent && e.sendHeader(false) != nil {
+	if !e.headerSent && e.sendHeader(false) != nil {
 		return
 	}
-	_ = e.c.bw.Flush() // the next write tells of the error
+	_ = e.c.bw.Flush() // the next write returns the error
 }
 
-// sendHeader sends the header and what was held. Whole says that the handler
-// writes nothing more.
-func (e *exchange) sendHeader(whole bool) error {
-	e.sent = true
+// sendHeader sends the header and the buffered body. complete means that the handler writes
+// nothing more.
+func (e *exchange) sendHeader(complete bool) error {
+	e.headerSent = true
 	h := e.header
-	e.frame(whole)
-	wanted := e.req.Close || hasToken(h["Connection"], "close")
+	e.setFraming(complete)
+	closeRequested := e.req.Close || hasToken(h["Connection"], "close")
 	delete(h, "Connection")
-	if e.closes = e.c.closesWith(e, wanted || e.left < 0 && e.chunked == nil && e.hasBody()); e.closes {
+	if e.closesConn = e.c.isLastResponse(e, closeRequested || e.remaining < 0 && e.chunked == nil && e.hasBody()); e.closesConn {
 		h["Connection"] = []string{"close"}
 	}
 	w := e.c.bw
 	e.writeStatus(w)
 	_ = h.Write(w)
 	_, _ = w.WriteString("\r\n")
-	_, err := e.send(e.held.Bytes())
-	e.held = bytes.Buffer{}
+	_, err := e.send(e.buffered.Bytes())
+	e.buffered = bytes.Buffer{}
 	return err
 }
 
-// writeStatus writes the status line, and the date unless the handler set one. The
-// writer keeps its first error for the flush.
+// writeStatus writes the status line, and the date unless the handler set one. The writer keeps
+// its first error and returns it from Flush.
 func (e *exchange) writeStatus(w *bufio.Writer) {
 	line := append(w.AvailableBuffer(), "HTTP/1.1 "...)
 	line = strconv.AppendInt(line, int64(e.status), 10)
@@ -205,26 +205,26 @@
 	_, _ = w.Write(line)
 }
 
-// frame decides how the end of the body is told.
-func (e *exchange) frame(whole bool) {
+// setFraming decides how the end of the body is marked.
+func (e *exchange) setFraming(complete bool) {
 	h := e.header
 	delete(h, "Transfer-Encoding")
 	if !e.hasBody() {
 		if e.req.Method != http.MethodHead {
 			delete(h, "Content-Length")
 		}
-		e.left = 0
+		e.remaining = 0
 		return
 	}
 	if n, err := strconv.ParseInt(h.Get("Content-Length"), 10, 64); err == nil && n >= 0 {
-		e.left = n
+		e.remaining = n
 		return
 	}
 	delete(h, "Content-Length")
 	switch {
-	case whole && h["Trailer"] == nil:
-		e.left = int64(e.held.Len())
-		h["Content-Length"] = []string{strconv.FormatInt(e.left, 10)}
+	case complete && h["Trailer"] == nil:
+		e.remaining = int64(e.buffered.Len())
+		h["Content-Length"] = []string{strconv.FormatInt(e.remaining, 10)}
 	case e.req.ProtoAtLeast(1, 1):
 		h["Transfer-Encoding"] = []string{"chunked"}
 		e.chunked = httputil.NewChunkedWriter(e.c.bw)
@@ -244,20 +244,20 @@
 		return len(p), nil
 	case e.chunked != nil:
 		return e.chunked.Write(p)
-	case e.left >= 0 && int64(len(p)) > e.left:
+	case e.remaining >= 0 && int64(len(p)) > e.remaining:
 		return 0, http.ErrContentLength
-	case e.left >= 0:
-		e.left -= int64(len(p))
+	case e.remaining >= 0:
+		e.remaining -= int64(len(p))
 	}
 	return e.c.bw.Write(p)
 }
 
-// complete sends what is left of the answer, and reports whether it is whole.
-func (e *exchange) complete() bool {
+// finishResponse sends the rest of the response, and reports whether it is complete.
+func (e *exchange) finishResponse() bool {
 	e.WriteHeader(http.StatusOK)
 	e.c.wmu.Lock()
 	defer e.c.wmu.Unlock()
-	if !e.sent && e.sendHeader(true) != nil {
+	if !e.headerSent && e.sendHeader(true) != nil {
 		return false
 	}
 	if e.chunked != nil {
@@ -265,12 +265,12 @@
 			return false
 		}
 	}
-	// An answer that is shorter than announced must not look whole.
-	return e.left <= 0 && e.c.bw.Flush() == nil
+	// A response shorter than its Content-Length must not look complete.
+	return e.remaining <= 0 && e.c.bw.Flush() == nil
 }
 
-// writeTrailers ends a chunked body with the trailers that were announced, and
-// those that bear the prefix of net/http.
+// writeTrailers ends a chunked body with the announced trailers and those with
+// http.TrailerPrefix.
 func (e *exchange) writeTrailers() error {
 	trailers := make(http.Header)
 	for _, line := range e.header["Trailer"] {
@@ -293,14 +293,14 @@
 	return err
 }
 
-// closing ends the connection after its last answer. Whatever the client sends
-// is left to linger.
-func (c *conn) closing() {
+// closeAfterLastResponse ends reading after the last response. linger discards what the client
+// still sends.
+func (c *conn) closeAfterLastResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last, c.closed = true, true
-	// The reader may wait for a next request: it has to see that there is none.
-	_ = c.nc.SetReadDeadline(time.Unix(1, 0)) // an error means that it has seen it
+	c.readsDone, c.responsesDone = true, true
+	// The reader may be waiting for a next request; the deadline wakes it.
+	_ = c.nc.SetReadDeadline(time.Unix(1, 0)) // an error means that the reader has noticed
 }
 
 func hasToken(lines []string, token string) bool {
@@ -314,14 +314,14 @@
 	return false
 }
 
-// EnableFullDuplex lets a handler answer before it has read the body; it always
-// may here.
+// EnableFullDuplex lets a handler respond before it has read the body, which this server always
+// allows.
 func (e *exchange) EnableFullDuplex() error { return nil }
 
 // SetReadDeadline bounds the reading of the request's body.
 func (e *exchange) SetReadDeadline(t time.Time) error {
 	if e.body == nil || e.body.ended() {
-		// The reader of the next request sets its own.
+		// The reader of the next request sets its own deadline.
 		return nil
 	}
 	return e.c.nc.SetReadDeadline(t)
