--- a/internal/node/workspaces.go
+++ b/internal/node/workspaces.go
@@ -195,7 +195,7 @@
 	}
 	if r.fallback {
 		r.fallback = false
-		r.w.log.Info().Msg("workspaces: a quota collector answers again")
+		r.w.log.Info().Msg("workspaces: a collector of the quotas answers again")
 	}
 	r.lastAnswered, r.answeredUsage = time.Now(), usage
 	r.w.limiter.Apply(admissions)
@@ -205,7 +205,7 @@
 	sinceAnswer := now.Sub(r.lastAnswered)
 	if !r.fallback && sinceAnswer >= quota.FallbackAfter {
 		r.fallback = true
-		r.w.log.Warn().Msg("workspaces: no quota collector answers, calls are limited to this node's own share")
+		r.w.log.Warn().Msg("workspaces: no collector of the quotas answers, calls pass by this node's own part")
 	}
 	r.w.limiter.ApplyFallback(quota.Fallback{
 		SinceReport: sinceReport, SinceAnswer: sinceAnswer, Nodes: len(r.w.n.views.Load().Records),
